--- /dev/null
+++ b/peers/src/test/java/vetchrill/peers/FormatExamples.java
@@ -0,0 +1,69 @@
+package vetchrill.peers;
+
+import static org.testng.Assert.assertNotNull;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import vetchrill.versions.Memory;
+import vetchrill.versions.Saying;
+import vetchrill.versions.Version;
+
+/** Values with every component filled, and the files under {@code formats} that hold them as bytes. */
+final class FormatExamples {
+    private FormatExamples() {
+    }
+
+    static Version version() {
+        return new Version(17, "author-1", "0123456789abcdef".repeat(4), 3, "fedcba9876543210".repeat(4),
+                List.of(new Version.Stage("zone-a", 0.25), new Version.Stage("", 1)), 6_000);
+    }
+
+    static byte[] content() {
+        return new byte[] {1, -2, 127};
+    }
+
+    static Memory memory() {
+        return new Memory("instance-1", 42, 3, true, 16,
+                List.of(new Saying.Kept("instance-1", 3, 16), new Saying.Kept("instance-2", 1L << 40, 15)),
+                version(), content(), List.of(new Saying.Noted(version(), 123_450, "worse than before")),
+                List.of(new Saying.Count("instance-2", 7), new Saying.Count("instance-3", 0)));
+    }
+
+    /** A message in which everything is filled, also what this kind does not need. */
+    static Sayings.Envelope envelope(Saying.Kind kind) {
+        Saying.News news = new Saying.News(List.of(new Saying.Noted(version(), 98_760, "")), 16,
+                List.of(new Saying.Kept("instance-2", 5, 15)));
+        Saying.Standing standing = new Saying.Standing(16, true, false, 41, 17, "out of memory", 15, 1_000_000, 300,
+                20, 1);
+        Saying saying = new Saying(kind, "instance-1", "zone-a", -5_000_000_000L, 77, 40, news, standing,
+                new Saying.Piece("0123456789abcdef".repeat(4), 16_384, content()));
+        return new Sayings.Envelope(1_700_000_000_000L << 16 | 9, 12, "ab".repeat(32), saying);
+    }
+
+    /** The lines of a file: a name, a space, bytes in hexadecimal digits. */
+    static Map<String, byte[]> hexLines(String file) throws IOException {
+        Map<String, byte[]> lines = new TreeMap<>();
+        for (String line : text(file).split("\n")) {
+            String[] parts = line.split(" ");
+            lines.put(parts[0], HexFormat.of().parseHex(parts[1]));
+        }
+        return lines;
+    }
+
+    static String text(String file) throws IOException {
+        try (InputStream in = FormatExamples.class.getResourceAsStream("/formats/" + file)) {
+            assertNotNull(in, file);
+            return new String(in.readAllBytes(), StandardCharsets.UTF_8);
+        }
+    }
+
+    static Path path(String file) throws Exception {
+        return Path.of(FormatExamples.class.getResource("/formats/" + file).toURI());
+    }
+}
