--- a/fuzz/src/main/java/vetchrill/fuzz/chain/ChainRun.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/chain/ChainRun.java
@@ -14,18 +14,18 @@
 import vetchrill.fuzz.Finding;
 import vetchrill.model.Event;
 import vetchrill.model.HeapQueue;
-import vetchrill.program.Drain;
+import vetchrill.program.DrainStep;
 import vetchrill.protocol.DeploymentReader;
-import vetchrill.protocol.Reports;
-import vetchrill.routing.Chain;
+import vetchrill.protocol.HealthReportSink;
+import vetchrill.routing.ProcessingChain;
 import vetchrill.routing.Clock;
 import vetchrill.routing.DecisionThread;
 import vetchrill.routing.Inside;
 import vetchrill.standin.StubFrames;
 import vetchrill.transport.InterpreterLink;
-import vetchrill.transport.Job;
+import vetchrill.transport.IoTask;
 import vetchrill.transport.Limits;
-import vetchrill.transport.Pipe;
+import vetchrill.transport.DuplexChannel;
 
 /**
  * The whole chain of one instance on one thread, a clock that is only counted and streams in memory. The production
@@ -60,7 +60,7 @@
     private final HeapQueue events = new HeapQueue();
     final Ledger ledger = new Ledger();
     private final Limits limits = new Limits(64L << 20, 256);
-    private final Chain chain;
+    private final ProcessingChain chain;
     private final DecisionThread thread;
     private final InterpreterLink link;
     final SimInterpreter interpreter;
@@ -91,7 +91,7 @@
         interpreter = new SimInterpreter(this);
         Clock clock = new Clock(() -> UNIX + now() + wallStep, () -> now() * 100_000);
         thread = new DecisionThread(clock, limits);
-        Reports reports = new Reports() {
+        HealthReportSink reports = new HealthReportSink() {
             @Override
             public int report(boolean up) throws IOException {
                 if (failingReports > 0 && failingReports-- % 2 == 0) {
@@ -101,11 +101,12 @@
             }
 
             @Override
-            public void move(InetSocketAddress to) {
+            public void moveTo(InetSocketAddress to) {
                 // Whoever is reported to is the same here.
             }
         };
-        chain = new Chain(new DeploymentReader(SETTINGS), 7, clock, thread, reports, limits, null, this::reads,
+        chain = new ProcessingChain(new DeploymentReader(SETTINGS), 7, clock, thread, reports, limits, null,
+                this::reads,
                 this::writes);
         link = chain.prepare(address(1), this::dial);
         keepLink();
@@ -187,14 +188,15 @@
     }
 
     private void turnIfNeeded() {
-        long wanted = thread.hasInputs() ? now() + (!plain && chance.nextInt(8) == 0 ? chance.nextInt(30) : 0)
-                : thread.nextTimer() == Long.MAX_VALUE ? Long.MAX_VALUE : Math.max(now(), thread.nextTimer() - UNIX);
+        long wanted = thread.hasQueuedTasks() ? now() + (!plain && chance.nextInt(8) == 0 ? chance.nextInt(30) : 0)
+                : thread.nextTimerDueAt() == Long.MAX_VALUE ? Long.MAX_VALUE
+                : Math.max(now(), thread.nextTimerDueAt() - UNIX);
         if (wanted < turnAt) {
             turnAt = wanted;
             at(wanted, () -> {
                 if (now() >= turnAt && !over) {
                     turnAt = Long.MAX_VALUE;
-                    thread.turn(chain::decide);
+                    thread.runOnce(chain::executeDecisions);
                 }
             });
         }
@@ -203,8 +205,8 @@
     // What the chain asks for.
 
     /** A reader, which has a step whenever there is something to read, until it has had its last. */
-    private void reads(Job job) {
-        SimPipe pipe = (SimPipe) job.pipe();
+    private void reads(IoTask job) {
+        SimPipe pipe = (SimPipe) job.channel();
         pipe.reader = job;
         pipe.taken = true;
         ready(pipe);
@@ -232,12 +234,12 @@
     }
 
     /** A writer, which has its steps one after the other, unless its peer takes nothing for a while. */
-    private void writes(Job job) {
+    private void writes(IoTask job) {
         at(now() + delay() / 4, () -> write(job));
     }
 
-    private void write(Job job) {
-        SimPipe pipe = (SimPipe) job.pipe();
+    private void write(IoTask job) {
+        SimPipe pipe = (SimPipe) job.channel();
         if (over) {
             return;
         }
@@ -248,7 +250,7 @@
         }
     }
 
-    private Pipe dial(InetSocketAddress to, long wait) throws IOException {
+    private DuplexChannel dial(InetSocketAddress to, long wait) throws IOException {
         if (now() < refusedUntil) {
             throw new IOException("refused");
         }
@@ -257,11 +259,11 @@
 
     /** As the link's own thread does it: a pause, a try, and again when what was opened is over. */
     private void keepLink() {
-        at(now() + link.pauseBefore(), () -> {
+        at(now() + link.nextRetryPause(), () -> {
             if (over) {
                 return;
             }
-            if (link.attempt()) {
+            if (link.attemptConnect()) {
                 linkOpen = true;
                 watchLink(now());
             } else {
@@ -274,9 +276,9 @@
         if (over) {
             return;
         }
-        if (link.isOver()) {
+        if (link.isReconnectNeeded()) {
             linkOpen = false;
-            link.ended(now() - since);
+            link.connectionEnded(now() - since);
             keepLink();
         } else {
             at(now() + 50, () -> watchLink(since));
@@ -285,7 +287,7 @@
 
     private void report() {
         if (!over) {
-            long pause = chain.report();
+            long pause = chain.reportHealth();
             at(now() + Math.max(500, pause), this::report);
         }
     }
@@ -334,7 +336,7 @@
             case 17 -> interpreter.doubles = !interpreter.doubles;
             case 18 -> interpreter.remark();
             case 19 -> interpreter.restart();
-            case 20 -> chain.move(address(1 + b % 3), address(9));
+            case 20 -> chain.updateAddresses(address(1 + b % 3), address(9));
             case 21 -> {
                 if (b < 60) {
                     drain();
@@ -382,10 +384,10 @@
             stub = new SimStub(this);
             byPlace.put(place, stub);
             stubs.add(stub);
-            if (stopAt >= 0 && now() >= stopAt - limits.lastConnections) {
+            if (stopAt >= 0 && now() >= stopAt - limits.stopAcceptingLeadTenthsMs) {
                 stub.gone = true;
             } else {
-                chain.accepted(stub.pipe);
+                chain.onAccepted(stub.pipe);
             }
         }
         return stub;
@@ -480,7 +482,7 @@
     }
 
     void move(int to) {
-        chain.move(address(1 + to % 3), address(9));
+        chain.updateAddresses(address(1 + to % 3), address(9));
     }
 
     void drain() {
@@ -490,11 +492,11 @@
         stopAt = now() + STOP;
         ledger.leftAt = now();
         long unixStop = UNIX + stopAt;
-        for (Drain step : Drain.steps(limits, chain, unixStop - STOP, unixStop, () -> { }, () -> {
+        for (DrainStep step : DrainStep.steps(limits, chain, unixStop - STOP, unixStop, () -> { }, () -> {
             ledger.rest(true, stopAt);
             over = true;
         })) {
-            at(Math.max(now(), step.at() - UNIX), step.act());
+            at(Math.max(now(), step.at() - UNIX), step.action());
         }
     }
 
--- a/fuzz/src/main/java/vetchrill/fuzz/chain/ChainTarget.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/chain/ChainTarget.java
@@ -6,7 +6,7 @@
 import vetchrill.fuzz.Draws;
 import vetchrill.fuzz.Scripts;
 import vetchrill.fuzz.Target;
-import vetchrill.routing.Chain;
+import vetchrill.routing.ProcessingChain;
 
 /** The whole chain by a script: eight octets of seed, then steps of four octets. */
 public final class ChainTarget implements Target {
@@ -22,7 +22,7 @@
 
     @Override
     public List<Class<?>> covers() {
-        return List.of(Chain.class);
+        return List.of(ProcessingChain.class);
     }
 
     @Override
--- a/fuzz/src/main/java/vetchrill/fuzz/chain/SimPipe.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/chain/SimPipe.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 import java.util.Arrays;
-import vetchrill.transport.Job;
-import vetchrill.transport.Pipe;
+import vetchrill.transport.IoTask;
+import vetchrill.transport.DuplexChannel;
 
 /** One connection in memory. What its peer does to it is up to the peer; the chain sees what a socket would show. */
-final class SimPipe implements Pipe {
+final class SimPipe implements DuplexChannel {
     /** What the peer hears of the other side, at once; it passes it on in its own time. */
     interface Peer {
         void written(byte[] bytes);
@@ -20,7 +20,7 @@
 
     final Peer peer;
     /** Whoever reads this side; null once it has ended. */
-    Job reader;
+    IoTask reader;
     /** The chain has had it. */
     boolean taken;
     private byte[] in = new byte[0];
--- a/fuzz/src/main/java/vetchrill/fuzz/targets/FramesTarget.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/targets/FramesTarget.java
@@ -31,35 +31,36 @@
     }
 
     /** Writes down what it is told, in words that compare. */
-    private static final class Taker implements FrameReader.Taker {
+    private static final class Taker implements FrameReader.Handler {
         final List<String> told = new ArrayList<>();
         private final Fields fields = new Fields();
 
         @Override
-        public boolean frame(int type, int stream, byte[] buf, int from, int to) {
-            String wrong = fields.read(buf, from, to);
+        public boolean onFrame(int type, int stream, byte[] buf, int from, int to) {
+            String wrong = fields.parse(buf, from, to);
             told.add("frame " + type + " " + stream + " " + Arrays.hashCode(Arrays.copyOfRange(buf, from, to)) + " "
-                    + (wrong == null ? fields.text("rid") + " " + fields.whole("t0") + " " + fields.number("mem") + " "
-                    + fields.among("method", List.of("look", "note")) + " " + (to - fields.end()) : "bad"));
-            if (wrong == null && (fields.end() < from || fields.end() > to)) {
+                    + (wrong == null ? fields.text("rid") + " " + fields.wholeNumber("t0") + " " + fields.number("mem")
+                    + " "
+                    + fields.indexIn("method", List.of("look", "note")) + " " + (to - fields.bodyOffset()) : "bad"));
+            if (wrong == null && (fields.bodyOffset() < from || fields.bodyOffset() > to)) {
                 throw new Finding("fields end outside of their frame");
             }
             return true;
         }
 
         @Override
-        public boolean oversized(int type, int stream) {
+        public boolean onOversizedFrame(int type, int stream) {
             told.add("oversized " + type + " " + stream);
             return true;
         }
 
         @Override
-        public void broken(String reason) {
+        public void onMalformedInput(String reason) {
             told.add("broken");
         }
 
         @Override
-        public void ended(boolean gone) {
+        public void onInputEnded(boolean gone) {
             told.add("ended");
         }
     }
@@ -68,7 +69,7 @@
     private static List<String> inPieces(byte[] input, SplittableRandom chance, boolean whole) {
         Taker taker = new Taker();
         FrameReader reader = new FrameReader(LIMITS, taker);
-        byte[] buf = new byte[LIMITS.firstBuffer];
+        byte[] buf = new byte[LIMITS.initialBufferBytes];
         int from = 0;
         int to = 0;
         int at = 0;
@@ -76,10 +77,10 @@
             if (to == buf.length) {
                 if (from > 0) {
                     System.arraycopy(buf, from, buf, 0, to - from);
-                } else if (buf.length >= LIMITS.frame) {
+                } else if (buf.length >= LIMITS.maxBufferedFrameBytes) {
                     throw new Finding("a frame that the reader neither takes nor refuses fills its buffer");
                 } else {
-                    buf = Arrays.copyOf(buf, Math.min(LIMITS.frame, 2 * buf.length));
+                    buf = Arrays.copyOf(buf, Math.min(LIMITS.maxBufferedFrameBytes, 2 * buf.length));
                 }
                 to -= from;
                 from = 0;
@@ -90,7 +91,7 @@
             at += piece;
             to += piece;
             while (from < to) {
-                int took = reader.take(buf, from, to);
+                int took = reader.consume(buf, from, to);
                 if (took < 0) {
                     return taker.told;
                 }
@@ -125,7 +126,7 @@
             int type = in[at + 4] & 0xff;
             int stream = (in[at + 5] & 0xff) << 24 | (in[at + 6] & 0xff) << 16 | (in[at + 7] & 0xff) << 8
                     | in[at + 8] & 0xff;
-            if (length > LIMITS.frame - 4) {
+            if (length > LIMITS.maxBufferedFrameBytes - 4) {
                 told.add("oversized " + type + " " + stream);
                 at += (int) Math.min(4 + length, in.length - at);
                 continue;
@@ -225,14 +226,14 @@
         same(denied, 4, stream, wanted.toString().getBytes(StandardCharsets.ISO_8859_1));
         byte[] result = Arrays.copyOf(input, Math.min(input.length, 4_096));
         byte[] completed = Frames.completed(0, result, 0, result.length);
-        Frames.onStream(completed, stream);
+        Frames.setStream(completed, stream);
         byte[] body = new byte[result.length + 2];
         body[0] = 79;
         System.arraycopy(result, 0, body, 2, result.length);
         same(completed, 4, stream, body);
         same(Frames.terminated(stream), 4, stream, new byte[] {69, 0});
-        same(Frames.checked(stream, last), 32, stream, new byte[] {(byte) (last ? 79 : 69), 0});
-        same(Frames.nothingNew(), 64, 0, new byte[0]);
+        same(Frames.healthCheckAnswer(stream, last), 32, stream, new byte[] {(byte) (last ? 79 : 69), 0});
+        same(Frames.goAway(), 64, 0, new byte[0]);
     }
 
     private static void same(byte[] frame, int type, int stream, byte[] payload) {
--- a/fuzz/src/main/java/vetchrill/fuzz/targets/LinesTarget.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/targets/LinesTarget.java
@@ -24,16 +24,16 @@
         return List.of(InterpreterLines.class);
     }
 
-    private static final class Taker implements InterpreterLines.Taker {
+    private static final class Taker implements InterpreterLines.Handler {
         final List<String> told = new ArrayList<>();
 
         @Override
-        public void banner(String state, long sinceStart) {
+        public void onBanner(String state, long sinceStart) {
             told.add("banner " + state + " " + sinceStart);
         }
 
         @Override
-        public void value(long number, String id, String end, long took, byte[] buf, int from, int to) {
+        public void onValue(long number, String id, String end, long took, byte[] buf, int from, int to) {
             if (from < 0 || to < from || to > buf.length) {
                 throw new Finding("a result outside of the buffer");
             }
@@ -42,22 +42,22 @@
         }
 
         @Override
-        public void gauges(String tag, double[] row) {
+        public void onGauges(String tag, double[] row) {
             told.add("gauges " + tag + " " + Arrays.toString(row));
         }
 
         @Override
-        public void error(String text) {
+        public void onError(String text) {
             told.add(text);
         }
 
         @Override
-        public void remark(long number, String text) {
+        public void onTrace(long number, String text) {
             told.add("remark " + number);
         }
 
         @Override
-        public void ended(String why) {
+        public void onInputEnded(String why) {
             told.add("ended");
         }
     }
@@ -75,7 +75,7 @@
             at += piece;
             int from = 0;
             while (from < buf.length) {
-                int took = lines.take(buf, from, buf.length);
+                int took = lines.consume(buf, from, buf.length);
                 if (took < 0) {
                     return taker.told;
                 }
--- a/fuzz/src/main/java/vetchrill/fuzz/targets/MembersTarget.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/targets/MembersTarget.java
@@ -7,13 +7,13 @@
 import vetchrill.fuzz.Finding;
 import vetchrill.fuzz.Scripts;
 import vetchrill.fuzz.Target;
-import vetchrill.members.Members;
-import vetchrill.members.Pace;
+import vetchrill.members.SwimMembership;
+import vetchrill.members.MembershipConfig;
 import vetchrill.peersim.MembersWorld;
 
 /** A small fleet whose instances hear each other: an octet for its size, eight of seed, then steps of four. */
 public final class MembersTarget implements Target {
-    private static final Pace PACE = new Pace(5_000, 1_500, 3, 4, 4, 30_000);
+    private static final MembershipConfig PACE = new MembershipConfig(5_000, 1_500, 3, 4, 4, 30_000);
     private static final int HEAD = 9;
     private static final int STEP = 4;
     private static final int MOST_STEPS = 40;
@@ -26,7 +26,7 @@
 
     @Override
     public List<Class<?>> covers() {
-        return List.of(Members.class);
+        return List.of(SwimMembership.class);
     }
 
     @Override
@@ -39,7 +39,7 @@
         int end = Math.min(input.length, HEAD + STEP * MOST_STEPS);
         try {
             MembersWorld world = new MembersWorld(size, PACE, false, seed);
-            world.until(4 * PACE.sync());
+            world.until(4 * PACE.syncPeriod());
             Draws draws = new Draws(input.length <= HEAD ? new byte[0] : Arrays.copyOfRange(input, HEAD, end));
             while (!draws.over()) {
                 step(world, size, draws.below(16), draws.octet() % size, draws.octet(), draws.octet());
--- a/fuzz/src/main/java/vetchrill/fuzz/targets/ModuleTarget.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/targets/ModuleTarget.java
@@ -120,31 +120,31 @@
             told.groups = new ArrayList<>();
             int groups = 1 + draws.below(3);
             told.cores = 1 + draws.below(4);
-            told.callers = 1 + draws.below(20);
-            told.servers = 1 + draws.below(30);
+            told.callerCount = 1 + draws.below(20);
+            told.serverCount = 1 + draws.below(30);
             told.memoryKb = draws.span(200, 50_000);
-            told.runGrowth = 1 + draws.below(6);
-            told.keyKb = draws.below(20);
+            told.runMemoryFactor = 1 + draws.below(6);
+            told.dedupKeyKb = draws.below(20);
             told.callerIdleTime = draws.span(100 * MS, 20_000 * MS);
-            told.tick = 5 * MS;
+            told.hostQuantum = 5 * MS;
             told.preemption = Deployment.Preemption.values()[draws.below(3)];
-            told.say = Deployment.Say.values()[draws.below(3)];
+            told.loadHint = Deployment.LoadHint.values()[draws.below(3)];
             int flags = draws.octet();
-            told.callsShared = (flags & 1) == 1;
-            told.listFollowsHealth = (flags & 2) == 2;
-            told.cold = (flags & 4) == 4;
-            told.below = (flags & 8) == 8;
-            told.marksFurtherTries = (flags & 16) == 16;
-            told.benefitByWork = (flags & 32) == 32;
-            told.callsOut = draws.below(8) / 2.0;
-            told.callsWindow = draws.span(0, 2_000 * MS);
-            told.callLingers = draws.span(0, 1_000 * MS);
-            told.coldShare = 0.2 + draws.below(9) / 10.0;
-            told.warmUp = draws.span(0, 10_000 * MS);
-            told.crowdPerCore = 2 + draws.below(9);
+            told.sharedDependency = (flags & 1) == 1;
+            told.discoveryFollowsHealth = (flags & 2) == 2;
+            told.startsCold = (flags & 4) == 4;
+            told.backendTier = (flags & 8) == 8;
+            told.callersMarkRetries = (flags & 16) == 16;
+            told.benefitScalesWithWork = (flags & 32) == 32;
+            told.callQuota = draws.below(8) / 2.0;
+            told.callQuotaWindow = draws.span(0, 2_000 * MS);
+            told.abandonedCallLinger = draws.span(0, 1_000 * MS);
+            told.coldSpeedRatio = 0.2 + draws.below(9) / 10.0;
+            told.warmUpTime = draws.span(0, 10_000 * MS);
+            told.sustainableRunsPerCore = 2 + draws.below(9);
             told.drainGrace = draws.span(0, 3_000 * MS);
-            told.longestAway = draws.span(0, 5_000 * MS);
-            told.allowance = new double[] {draws.below(200), 20};
+            told.maxRetryAfter = draws.span(0, 5_000 * MS);
+            told.allowancePerSecond = new double[] {draws.below(200), 20};
             told.benefitBeyondShare = 0.1;
             for (int i = 0; i < groups; i++) {
                 EndpointGroup group = new EndpointGroup();
@@ -152,8 +152,8 @@
                 group.sloTime = (300 + 400L * i) * MS;
                 group.asyncTimeout = group.sloTime * 2 + 600 * MS;
                 group.benefit = 1 + i;
-                group.lateShare = i * 0.2;
-                group.window = 5_000 * MS;
+                group.lateBenefitShare = i * 0.2;
+                group.dedupWindow = 5_000 * MS;
                 group.mayCall = i != 1;
                 group.benefitWithoutCall = i == 2 ? 0.5 : 0;
                 told.groups.add(group);
@@ -174,7 +174,7 @@
                     if (leftAt == 0 && which % 4 == 0) {
                         leftAt = now;
                         stopAt = now + told.drainGrace + draws.span(400 * MS, 6_000 * MS);
-                        module.leave(stopAt, now);
+                        module.startDrain(stopAt, now);
                         return;
                     }
                     pass(which);
@@ -202,22 +202,22 @@
                 Seen ex = new Seen();
                 ex.group = told.groups.get(which % told.groups.size());
                 ex.customer = which % 3;
-                ex.arrived = now - (which > 200 ? (which - 200L) * 20 * MS : 0);
-                ex.kb = 1 + which % 40;
-                ex.work = which % 5 == 0 ? 100L * MS : 0;
-                ex.furtherTry = told.marksFurtherTries && which % 2 == 0;
-                ex.callerLeaves = which % 11 == 0 ? ex.arrived + 700 * MS : 0;
-                ex.due = ex.callerLeaves > 0 ? ex.callerLeaves : ex.arrived + ex.group.asyncTimeout;
+                ex.arrivedAt = now - (which > 200 ? (which - 200L) * 20 * MS : 0);
+                ex.sizeKb = 1 + which % 40;
+                ex.declaredCoreTime = which % 5 == 0 ? 100L * MS : 0;
+                ex.retry = told.callersMarkRetries && which % 2 == 0;
+                ex.callerDeadline = which % 11 == 0 ? ex.arrivedAt + 700 * MS : 0;
+                ex.due = ex.callerDeadline > 0 ? ex.callerDeadline : ex.arrivedAt + ex.group.asyncTimeout;
                 if (ex.group.effect == Effect.DEDUPLICATED && which % 3 == 0) {
                     Seen prior = one(which, each -> each.remembered && each.group == ex.group);
                     if (prior != null) {
                         ex.repeat = true;
-                        ex.prior = prior;
+                        ex.original = prior;
                         ex.ranBefore = prior.begun > 0 || prior.ranBefore;
                     }
                 }
                 all.add(ex);
-                module.arrived(ex, now);
+                module.onArrival(ex, now);
             }
         }
 
@@ -228,10 +228,10 @@
             }
             Outcome outcome = switch (which % 8) {
                 case 0 -> Outcome.ERRORED;
-                case 1 -> Outcome.CUT_OFF;
-                case 2 -> ex.interrupted ? Outcome.STOPPED : Outcome.COMPLETED;
-                case 3 -> ex.answers > 0 || ex.left ? Outcome.NOTHING_STARTED : Outcome.COMPLETED;
-                default -> ex.interrupted ? Outcome.STOPPED : Outcome.COMPLETED;
+                case 1 -> Outcome.CONNECTION_LOST;
+                case 2 -> ex.interrupted ? Outcome.PREEMPTED : Outcome.COMPLETED;
+                case 3 -> ex.answers > 0 || ex.left ? Outcome.NOT_STARTED : Outcome.COMPLETED;
+                default -> ex.interrupted ? Outcome.PREEMPTED : Outcome.COMPLETED;
             };
             over(ex, outcome, 1 + which * MS);
         }
@@ -239,12 +239,12 @@
         private void over(Seen ex, Outcome outcome, long took) {
             ex.running = false;
             ex.replaying = false;
-            boolean stopped = outcome == Outcome.STOPPED;
+            boolean stopped = outcome == Outcome.PREEMPTED;
             boolean owed = ex.answers == 0 && !ex.left;
             ex.interrupted = false;
             ex.paused = stopped && owed && told.preemption == Deployment.Preemption.PAUSE;
             ex.ended = !(stopped && owed);
-            module.finished(ex, outcome, took, now);
+            module.onRunEnded(ex, outcome, took, now);
             if (!stopped && owed) {
                 // The owner answers with what the run came to.
                 ex.answers++;
@@ -256,7 +256,7 @@
             if (ex != null) {
                 ex.running = false;
                 ex.atCall = true;
-                module.wantsCall(ex, now);
+                module.onCallRequested(ex, now);
             }
         }
 
@@ -265,15 +265,15 @@
             if (ex == null) {
                 return;
             }
-            Outcome[] ways = {Outcome.COMPLETED, Outcome.COMPLETED, Outcome.FULL, Outcome.GIVEN_UP,
-                    Outcome.OUT_OF_REACH,
-                Outcome.ERRORED, Outcome.CUT_OFF};
+            Outcome[] ways = {Outcome.COMPLETED, Outcome.COMPLETED, Outcome.CALLEE_SATURATED, Outcome.TIMED_OUT,
+                    Outcome.CONNECTION_REFUSED,
+                Outcome.ERRORED, Outcome.CONNECTION_LOST};
             Outcome outcome = ways[which % ways.length];
             ex.calling = false;
             inHand--;
             ex.running = outcome == Outcome.COMPLETED;
             ex.atCall = !ex.running;
-            module.callEnded(ex, outcome, which * MS, now);
+            module.onCallEnded(ex, outcome, which * MS, now);
         }
 
         private void leave(int which) {
@@ -284,7 +284,7 @@
                     ex.ended = true;
                     ex.replaying = false;
                 }
-                module.callerLeft(ex, now);
+                module.onCallerDisconnected(ex, now);
             }
         }
 
@@ -295,7 +295,7 @@
                 now = Math.max(now, timerAt + (which % 9 == 0 ? 80 * MS : 0));
                 timerAt = Long.MAX_VALUE;
                 double load = draws.octet() / 128.0;
-                module.gauges(Math.min(1, load), load * told.cores * 2, draws.octet(), now);
+                module.onTick(Math.min(1, load), load * told.cores * 2, draws.octet(), now);
             } else {
                 now = next;
             }
@@ -316,7 +316,7 @@
             }
             for (Seen ex : all) {
                 boolean owed = ex.answers == 0 && !ex.left;
-                if (owed && now > ex.due && now > ex.arrived) {
+                if (owed && now > ex.due && now > ex.arrivedAt) {
                     throw new Finding("an exchange is past its due time without an answer");
                 }
                 if (owed && stopAt > 0 && now >= stopAt) {
@@ -335,21 +335,21 @@
                     ex.calling = false;
                     inHand--;
                     ex.running = true;
-                    module.callEnded(ex, Outcome.COMPLETED, MS, now);
+                    module.onCallEnded(ex, Outcome.COMPLETED, MS, now);
                     decide();
                 }
                 for (Seen ex : those(each -> each.running || each.replaying)) {
-                    over(ex, ex.interrupted ? Outcome.STOPPED : Outcome.COMPLETED, MS);
+                    over(ex, ex.interrupted ? Outcome.PREEMPTED : Outcome.COMPLETED, MS);
                     decide();
                 }
                 for (Seen ex : those(each -> each.atCall && (each.answers > 0 || each.left))) {
                     ex.atCall = false;
-                    over(ex, Outcome.CUT_OFF, MS);
+                    over(ex, Outcome.CONNECTION_LOST, MS);
                     decide();
                 }
                 now = Math.max(now, timerAt);
                 timerAt = Long.MAX_VALUE;
-                module.gauges(0.1, 0, 0, now);
+                module.onTick(0.1, 0, 0, now);
                 decide();
                 check();
             }
@@ -390,10 +390,10 @@
             if (ex.repeat && ex.ranBefore) {
                 throw new Finding("a repeat is run");
             }
-            if (leftAt > 0 && ex.arrived > leftAt + told.drainGrace) {
+            if (leftAt > 0 && ex.arrivedAt > leftAt + told.drainGrace) {
                 throw new Finding("something is begun that arrived past the grace");
             }
-            if (running() + 1 > Math.max(1, told.crowdPerCore * told.cores)) {
+            if (running() + 1 > Math.max(1, told.sustainableRunsPerCore * told.cores)) {
                 throw new Finding("more is begun than the cores survive");
             }
             ex.begun++;
@@ -402,7 +402,7 @@
             double memory = 0;
             for (Seen each : all) {
                 boolean grown = each.running || each.atCall || each.calling || each.paused;
-                memory += each.ended ? 0 : grown ? each.kb * told.runGrowth : each.kb;
+                memory += each.ended ? 0 : grown ? each.sizeKb * told.runMemoryFactor : each.sizeKb;
             }
             if (memory > told.memoryKb) {
                 throw new Finding("more is begun than the memory holds");
@@ -410,7 +410,7 @@
         }
 
         @Override
-        public void deny(Exchange exchange, long away, boolean giveUp) {
+        public void reject(Exchange exchange, long away, boolean giveUp) {
             Seen ex = of(exchange);
             if (ex.running || ex.atCall || ex.calling) {
                 throw new Finding("something is denied that runs");
@@ -418,7 +418,7 @@
             if (ex.begun > 0 && ex.group.effect != Effect.REPEATABLE) {
                 throw new Finding("something is denied that has run");
             }
-            if (away < 0 || away > told.longestAway) {
+            if (away < 0 || away > told.maxRetryAfter) {
                 throw new Finding("advice beyond what is allowed");
             }
             answer(ex, "a denial");
@@ -454,13 +454,13 @@
             ex.atCall = false;
             ex.calling = true;
             inHand++;
-            if (told.callsShared && inHand > Math.max(1, told.callsOut)) {
+            if (told.sharedDependency && inHand > Math.max(1, told.callQuota)) {
                 throw new Finding("more calls than this server's part");
             }
         }
 
         @Override
-        public void leaveOut(Exchange exchange) {
+        public void skipCall(Exchange exchange) {
             Seen ex = of(exchange);
             if (!ex.atCall || ex.group.benefitWithoutCall <= 0) {
                 throw new Finding("a call is left out that can't be");
@@ -479,7 +479,7 @@
         }
 
         @Override
-        public void remember(Exchange exchange, long span) {
+        public void storeDedupKey(Exchange exchange, long span) {
             Seen ex = of(exchange);
             if (ex.group.effect != Effect.DEDUPLICATED || ex.remembered || span <= 0) {
                 throw new Finding("something is remembered that needs it not");
@@ -488,7 +488,7 @@
         }
 
         @Override
-        public void forget(Exchange exchange) {
+        public void dropDedupKey(Exchange exchange) {
             Seen ex = of(exchange);
             if (!ex.remembered || ex.begun > 0) {
                 throw new Finding("something is forgotten that must be known");
@@ -497,28 +497,28 @@
         }
 
         @Override
-        public void health(boolean good) {
+        public void setHealth(boolean good) {
             if (good && leftAt > 0) {
                 throw new Finding("health is good on the way out");
             }
         }
 
         @Override
-        public void say(double value) {
-            if (told.say == Deployment.Say.NOTHING || !(value >= 0 && value < 1e9)) {
+        public void publishLoadHint(double value) {
+            if (told.loadHint == Deployment.LoadHint.NONE || !(value >= 0 && value < 1e9)) {
                 throw new Finding("a free value that means nothing");
             }
         }
 
         @Override
-        public void idleTime(long span) {
+        public void setIdleTime(long span) {
             if (span < Math.min(100, told.callerIdleTime) || span > told.callerIdleTime) {
                 throw new Finding("an idle time out of its range");
             }
         }
 
         @Override
-        public void wakeIn(long span) {
+        public void scheduleTick(long span) {
             if (timerAt != Long.MAX_VALUE || span <= 0) {
                 throw new Finding("two timers run");
             }
--- a/fuzz/src/main/java/vetchrill/fuzz/targets/RecoveryTarget.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/targets/RecoveryTarget.java
@@ -10,8 +10,8 @@
 import vetchrill.fuzz.Target;
 import vetchrill.peersim.VersionsWorld;
 import vetchrill.powerloss.MemoryMedia;
-import vetchrill.store.Journal;
-import vetchrill.versions.Versions;
+import vetchrill.store.DurableStore;
+import vetchrill.versions.VersionManager;
 
 /**
  * A small fleet with its stores as they are, on media whose power goes at each write point, and which are put back to
@@ -34,7 +34,7 @@
 
     @Override
     public List<Class<?>> covers() {
-        return List.of(Versions.class, Journal.class);
+        return List.of(VersionManager.class, DurableStore.class);
     }
 
     @Override
--- a/fuzz/src/main/java/vetchrill/fuzz/targets/StoreTarget.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/targets/StoreTarget.java
@@ -14,7 +14,7 @@
 import vetchrill.powerloss.LosingDisk;
 import vetchrill.powerloss.MemoryMedia;
 import vetchrill.store.Change;
-import vetchrill.store.Journal;
+import vetchrill.store.DurableStore;
 
 /**
  * One store under commits, failures, losses at its write points and damage, held against what it told. Eight octets of
@@ -22,7 +22,7 @@
  */
 public final class StoreTarget implements Target {
     private static final Scripts SCRIPTS = new Scripts(8, 3, 60);
-    private static final long BOUND = Journal.LEAST_BOUND;
+    private static final long BOUND = DurableStore.MIN_CAPACITY_BYTES;
     private static final String OWNER = "r1";
 
     private static final class PowerLost extends RuntimeException {
@@ -37,7 +37,7 @@
         /** What would be there with one that was refused since the last was kept: the power may still leave it. */
         private final List<TreeMap<String, String>> open = new ArrayList<>();
         private LosingDisk disk;
-        private Journal journal;
+        private DurableStore journal;
         private int pointsLeft;
         private int failing;
         private long commits;
@@ -60,26 +60,26 @@
                     throw new IOException("No space left on device");
                 }
             });
-            journal = new Journal(disk, OWNER, BOUND);
-            if (journal.found().compareTo(Journal.Found.TORN) > 0) {
-                throw new Finding("a store that is whole is " + journal.found() + ": " + journal.why());
+            journal = new DurableStore(disk, OWNER, BOUND);
+            if (journal.outcome().compareTo(DurableStore.RecoveryOutcome.TORN) > 0) {
+                throw new Finding("a store that is whole is " + journal.outcome() + ": " + journal.problem());
             }
             TreeMap<String, String> there = there(journal);
             if (!there.equals(held) && !open.contains(there)) {
                 throw new Finding("what was told to be kept is not what is there");
             }
-            if (journal.commits() < commits) {
-                throw new Finding("the numbers went back from " + commits + " to " + journal.commits());
+            if (journal.lastCommit() < commits) {
+                throw new Finding("the numbers went back from " + commits + " to " + journal.lastCommit());
             }
             held.clear();
             held.putAll(there);
-            commits = journal.commits();
+            commits = journal.lastCommit();
             open.clear();
         }
 
-        private static TreeMap<String, String> there(Journal of) {
+        private static TreeMap<String, String> there(DurableStore of) {
             TreeMap<String, String> there = new TreeMap<>();
-            for (Map.Entry<String, byte[]> each : of.facts().entrySet()) {
+            for (Map.Entry<String, byte[]> each : of.entries().entrySet()) {
                 there.put(each.getKey(), new String(each.getValue(), java.nio.charset.StandardCharsets.US_ASCII));
             }
             return there;
@@ -105,9 +105,9 @@
                 journal.commit(changes, b % 2 == 0);
                 held.clear();
                 held.putAll(after);
-                commits = journal.commits();
+                commits = journal.lastCommit();
                 open.clear();
-            } catch (Journal.Full e) {
+            } catch (DurableStore.StoreFullException e) {
                 open.remove(after);
             } catch (IOException e) {
                 failing = Math.max(0, failing - 1);
@@ -131,16 +131,17 @@
             String last = logs.get(logs.size() - 1);
             int length = copy.read(last).length;
             if (b % 4 == 0 && !held.isEmpty()) {
-                if (new Journal(new LosingDisk(copy, chance.split(), 0, call -> { }), "r2", BOUND).found()
-                        != Journal.Found.FOREIGN) {
+                if (new DurableStore(new LosingDisk(copy, chance.split(), 0, call -> { }), "r2", BOUND).outcome()
+                        != DurableStore.RecoveryOutcome.FOREIGN) {
                     throw new Finding("a store of another name counts");
                 }
             } else if (length > 4_000) {
                 // Commits have some hundred octets: behind the first quarter of the log there are whole ones.
                 copy.spoil(last, 60 + (b * 256 + c) % (length / 4 - 60), false);
-                Journal other = new Journal(new LosingDisk(copy, chance.split(), 0, call -> { }), OWNER, BOUND);
-                if (other.found() != Journal.Found.DAMAGED && !there(other).equals(held)) {
-                    throw new Finding("damage between commits is held to be " + other.found());
+                DurableStore other = new DurableStore(new LosingDisk(copy, chance.split(), 0, call -> { }), OWNER,
+                        BOUND);
+                if (other.outcome() != DurableStore.RecoveryOutcome.DAMAGED && !there(other).equals(held)) {
+                    throw new Finding("damage between commits is held to be " + other.outcome());
                 }
             }
         }
@@ -153,7 +154,7 @@
 
     @Override
     public List<Class<?>> covers() {
-        return List.of(Journal.class);
+        return List.of(DurableStore.class);
     }
 
     @Override
@@ -180,7 +181,7 @@
                                 play.commit(b + i, c + i);
                             }
                         }
-                        case 5 -> play.journal.idle();
+                        case 5 -> play.journal.continueSnapshot();
                         default -> play.commit(b, c);
                     }
                 } catch (PowerLost e) {
--- a/fuzz/src/main/java/vetchrill/fuzz/targets/TextTargets.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/targets/TextTargets.java
@@ -27,7 +27,7 @@
 import vetchrill.protocol.Answers;
 import vetchrill.protocol.DeploymentReader;
 import vetchrill.protocol.MembershipCall;
-import vetchrill.wire.WireFault;
+import vetchrill.wire.WireFormatException;
 import vetchrill.wire.WireHost;
 
 /** Targets whose input is a whole text or file: it is taken, or refused in the one way that its reader has. */
@@ -224,7 +224,7 @@
                 System.setErr(new java.io.PrintStream(java.io.OutputStream.nullOutputStream()));
                 try {
                     new WireHost(in, out).run();
-                } catch (WireFault e) {
+                } catch (WireFormatException e) {
                     return out + "\n" + e.getMessage();
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
@@ -239,7 +239,7 @@
     private static List<Class<?>> wireClasses() {
         try {
             return List.of(WireHost.class, Class.forName("vetchrill.wire.LineParser", false,
-                    WireHost.class.getClassLoader()), Class.forName("vetchrill.wire.Door", false,
+                    WireHost.class.getClassLoader()), Class.forName("vetchrill.wire.InstanceAdapter", false,
                     WireHost.class.getClassLoader()));
         } catch (ClassNotFoundException e) {
             throw new IllegalStateException(e);
@@ -355,12 +355,12 @@
                                 + "\"00112233445566778899aabbccddeeff\"\n}\n")),
                                 Map.of("name", "r1", "started", "1", "settings", SETTINGS));
                         for (int i = 0; i < 3; i++) {
-                            var row = writer.claimExchange();
-                            row.arrived = 1_000 + i;
-                            row.heard = 1_010 + i;
+                            var row = writer.claimExchangeRow();
+                            row.arrivedAt = 1_000 + i;
+                            row.dequeuedAt = 1_010 + i;
                             row.kb = 20;
-                            row.answered = 1_020 + i;
-                            row.answer = vetchrill.routing.Recorder.DENIED;
+                            row.answeredAt = 1_020 + i;
+                            row.answerKind = vetchrill.routing.Recorder.DENIED;
                             writer.put(row);
                         }
                         writer.close();
--- a/fuzz/src/main/java/vetchrill/fuzz/targets/VersionsTarget.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/targets/VersionsTarget.java
@@ -10,7 +10,7 @@
 import vetchrill.fuzz.Target;
 import vetchrill.peersim.VersionsWorld;
 import vetchrill.versions.Version.Stage;
-import vetchrill.versions.Versions;
+import vetchrill.versions.VersionManager;
 
 /**
  * A small fleet that agrees on versions and floors: an octet for its size, one for its keepers and zones, eight of
@@ -31,7 +31,7 @@
 
     @Override
     public List<Class<?>> covers() {
-        return List.of(Versions.class);
+        return List.of(VersionManager.class);
     }
 
     @Override
--- a/fuzz/src/main/java/vetchrill/program/Starts.java
+++ b/fuzz/src/main/java/vetchrill/program/Starts.java
@@ -9,10 +9,10 @@
 
     /** Throws IllegalArgumentException for a configuration of no use. */
     public static void read(Map<String, String> environment) {
-        new Start(environment);
+        new StartConfiguration(environment);
     }
 
     public static Class<?> of() {
-        return Start.class;
+        return StartConfiguration.class;
     }
 }
--- a/fuzz/src/main/java/vetchrill/protocol/Answers.java
+++ b/fuzz/src/main/java/vetchrill/protocol/Answers.java
@@ -10,8 +10,8 @@
 
     /** The status, negative where the connection may not be used again. */
     public static int read(InputStream in) throws IOException {
-        MembershipCall.Answer answer = MembershipCall.read(in);
-        return answer.lasts() ? answer.code() : -answer.code();
+        MembershipCall.Response answer = MembershipCall.readResponse(in);
+        return answer.keepAlive() ? answer.status() : -answer.status();
     }
 
     public static int longestHead() {
--- a/fuzz/src/main/java/vetchrill/routing/Inside.java
+++ b/fuzz/src/main/java/vetchrill/routing/Inside.java
@@ -6,16 +6,16 @@
     }
 
     /** Exchanges that are open or whose run may still tell of itself. */
-    public static int open(Chain chain) {
-        return chain.book.size();
+    public static int open(ProcessingChain chain) {
+        return chain.registry.openCount();
     }
 
-    public static int connections(Chain chain) {
-        return chain.book.connections();
+    public static int connections(ProcessingChain chain) {
+        return chain.registry.connectionCount();
     }
 
     /** Bytes of bodies that are kept. */
-    public static long heldBytes(Chain chain) {
-        return chain.heldBytes.get();
+    public static long heldBytes(ProcessingChain chain) {
+        return chain.openBodyBytes.get();
     }
 }
--- a/fuzz/src/test/java/vetchrill/fuzz/FuzzTest.java
+++ b/fuzz/src/test/java/vetchrill/fuzz/FuzzTest.java
@@ -18,7 +18,7 @@
 public class FuzzTest {
     private static final Path CORPUS = Path.of("corpus");
     /** Classes that read no bytes of others though they look like it. */
-    private static final Set<String> NO_PARSERS = Set.of("vetchrill.protocol.Reports");
+    private static final Set<String> NO_PARSERS = Set.of("vetchrill.protocol.HealthReportSink");
 
     @DataProvider
     public Object[][] targets() {
--- a/instance/src/main/java/vetchrill/Main.java
+++ b/instance/src/main/java/vetchrill/Main.java
@@ -4,8 +4,8 @@
 import java.io.FileDescriptor;
 import java.io.FileOutputStream;
 import java.io.IOException;
-import vetchrill.program.Serve;
-import vetchrill.wire.WireFault;
+import vetchrill.program.InstanceRunner;
+import vetchrill.wire.WireFormatException;
 import vetchrill.wire.WireHost;
 
 public final class Main {
@@ -13,17 +13,17 @@
     }
 
     public static void main(String[] args) throws IOException {
-        String wanted = args.length == 1 ? args[0] : "";
-        switch (wanted) {
+        String subcommand = args.length == 1 ? args[0] : "";
+        switch (subcommand) {
             case "wirehost" -> {
                 try (var out = new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16)) {
                     new WireHost(System.in, out).run();
-                } catch (WireFault fault) {
+                } catch (WireFormatException fault) {
                     System.err.println("vetchrill: " + fault.getMessage());
                     System.exit(1);
                 }
             }
-            case "serve" -> System.exit(Serve.run(System.getenv()));
+            case "serve" -> System.exit(InstanceRunner.run(System.getenv()));
             default -> {
                 if (args.length > 0) {
                     System.err.println("vetchrill: unknown subcommand: " + String.join(" ", args));
--- a/instance/src/main/java/vetchrill/control/Deployment.java
+++ b/instance/src/main/java/vetchrill/control/Deployment.java
@@ -6,36 +6,36 @@
 public final class Deployment {
     public enum Preemption { NONE, DROP, PAUSE }
 
-    public enum Say { NOTHING, LEAST_RANK, TOKENS }
+    public enum LoadHint { NONE, MIN_RANK, TOKENS }
 
     public List<EndpointGroup> groups;
     /** Exchanges a second within each customer's share, over all servers. */
-    public double[] allowance;
+    public double[] allowancePerSecond;
     public double benefitBeyondShare;
-    public boolean benefitByWork;
-    public int servers;
-    public int callers;
+    public boolean benefitScalesWithWork;
+    public int serverCount;
+    public int callerCount;
     /** Its callers are servers of the tier above, with holds of their own. */
-    public boolean below;
-    public boolean marksFurtherTries;
+    public boolean backendTier;
+    public boolean callersMarkRetries;
     public int cores;
     public double memoryKb;
-    public double runGrowth;
-    public double keyKb;
+    public double runMemoryFactor;
+    public double dedupKeyKb;
     public long callerIdleTime;
-    public long tick;
+    public long hostQuantum;
     public Preemption preemption;
-    public Say say;
-    public boolean callsShared;
+    public LoadHint loadHint;
+    public boolean sharedDependency;
     /** Calls in hand on average that are this server's part of what a shared dependency survives. */
-    public double callsOut;
-    public long callsWindow;
-    public long callLingers;
-    public boolean listFollowsHealth;
-    public boolean cold;
-    public double coldShare;
-    public long warmUp;
-    public double crowdPerCore;
+    public double callQuota;
+    public long callQuotaWindow;
+    public long abandonedCallLinger;
+    public boolean discoveryFollowsHealth;
+    public boolean startsCold;
+    public double coldSpeedRatio;
+    public long warmUpTime;
+    public double sustainableRunsPerCore;
     public long drainGrace;
-    public long longestAway;
+    public long maxRetryAfter;
 }
--- a/instance/src/main/java/vetchrill/control/EndpointGroup.java
+++ b/instance/src/main/java/vetchrill/control/EndpointGroup.java
@@ -7,31 +7,31 @@
     public Effect effect;
     public long sloTime;
     /** The SLO time grows by this multiple of an exchange's own work. */
-    public double sloStretch;
+    public double sloWorkFactor;
     public long asyncTimeout;
     public double benefit;
-    public double lateShare;
+    public double lateBenefitShare;
     /** How long after its arrival a deduplicated exchange may come again. */
-    public long window;
+    public long dedupWindow;
     public boolean mayCall;
     /** Part of the benefit kept by an answer made without the call. */
     public double benefitWithoutCall;
 
-    final Histogram onCore;
+    final Histogram coreTime;
     /** Core time that the completed ones were said to need. */
-    final Histogram said;
-    final Histogram atCalls;
+    final Histogram declaredCoreTime;
+    final Histogram timeAtCalls;
 
     public EndpointGroup() {
-        onCore = new Histogram();
-        said = new Histogram();
-        atCalls = new Histogram();
+        coreTime = new Histogram();
+        declaredCoreTime = new Histogram();
+        timeAtCalls = new Histogram();
     }
 
     /** The same group as another version tells of it: what was measured of it stays. */
     public EndpointGroup(EndpointGroup measured) {
-        onCore = measured.onCore;
-        said = measured.said;
-        atCalls = measured.atCalls;
+        coreTime = measured.coreTime;
+        declaredCoreTime = measured.declaredCoreTime;
+        timeAtCalls = measured.timeAtCalls;
     }
 }
--- a/instance/src/main/java/vetchrill/control/Exchange.java
+++ b/instance/src/main/java/vetchrill/control/Exchange.java
@@ -2,54 +2,55 @@
 
 /** One exchange read by this instance, and what is known of it. Whoever reads it sets the public fields. */
 public class Exchange {
-    public enum Stage { HELD, RUNNING, AT_CALL, CALLING, REPLAYING, OVER }
+    public enum Stage { PENDING, RUNNING, AWAITING_CALL, CALLING, REPLAYING, FINISHED }
 
     /** How a run or a call ended. */
     public enum Outcome {
-        COMPLETED(false), ERRORED(false), FULL(true), GIVEN_UP(false), OUT_OF_REACH(true), CUT_OFF(false),
-        STOPPED(false), NOTHING_STARTED(true);
+        COMPLETED(false), ERRORED(false), CALLEE_SATURATED(true), TIMED_OUT(false), CONNECTION_REFUSED(true),
+                CONNECTION_LOST(false),
+        PREEMPTED(false), NOT_STARTED(true);
 
-        public final boolean provesUnrun;
+        public final boolean provesNotRun;
 
-        Outcome(boolean provesUnrun) {
-            this.provesUnrun = provesUnrun;
+        Outcome(boolean provesNotRun) {
+            this.provesNotRun = provesNotRun;
         }
     }
 
     public EndpointGroup group;
     public int customer;
-    public long arrived;
+    public long arrivedAt;
     /** When the caller gives up by its own word; 0 where it does not say. */
-    public long callerLeaves;
+    public long callerDeadline;
     /** Core time it is said to need; 0 where nothing is said. */
-    public long work;
-    public double kb;
+    public long declaredCoreTime;
+    public double sizeKb;
     /** By which version it is decided, from its arrival to its end; 0 where there are none. */
     public long version;
     /** It was tried before, here or elsewhere; never set where further tries are not marked. */
-    public boolean furtherTry;
+    public boolean retry;
     /** It repeats a remembered exchange: {@code prior}, or null when that has long been forgotten. */
     public boolean repeat;
-    public Exchange prior;
+    public Exchange original;
 
-    Stage stage = Stage.HELD;
-    long due;
-    long sloAt;
-    long startBy;
+    Stage stage = Stage.PENDING;
+    long deadline;
+    long sloDeadline;
+    long startDeadline;
     boolean answered;
-    boolean ran;
-    boolean remembered;
+    boolean everStarted;
+    boolean keyStored;
     boolean paused;
-    boolean stopping;
-    long begun;
-    long atCallSince;
-    long atCalls;
-    int callTries;
+    boolean interrupting;
+    long startedAt;
+    long callRequestedAt;
+    long timeAtCalls;
+    int failedCallAttempts;
     /** Some call that it made may have taken effect. */
-    boolean callUnproven;
-    long callAgainAt;
+    boolean callMayHaveRun;
+    long nextCallAt;
 
-    public boolean over() {
-        return stage == Stage.OVER;
+    public boolean isFinished() {
+        return stage == Stage.FINISHED;
     }
 }
--- a/instance/src/main/java/vetchrill/control/Histogram.java
+++ b/instance/src/main/java/vetchrill/control/Histogram.java
@@ -2,28 +2,28 @@
 
 /** Counts in bins that each span half an octave, halved when full so that the past fades. */
 final class Histogram {
-    private static final int BINS = 48;
-    private static final int FULL = 64;
-    private static final double[] MIDDLE = new double[BINS];
+    private static final int BIN_COUNT = 48;
+    private static final int HALVE_AT_COUNT = 64;
+    private static final double[] BIN_MIDDLE = new double[BIN_COUNT];
 
     static {
-        MIDDLE[0] = 0;
-        for (int i = 1; i < BINS; i++) {
-            MIDDLE[i] = Math.pow(2, (i - 1) / 2.0) * 1.19;
+        BIN_MIDDLE[0] = 0;
+        for (int i = 1; i < BIN_COUNT; i++) {
+            BIN_MIDDLE[i] = Math.pow(2, (i - 1) / 2.0) * 1.19;
         }
     }
 
-    private final float[] counts = new float[BINS];
+    private final float[] counts = new float[BIN_COUNT];
     private float total;
     /** The mean, or NaN until it is asked for again: a crowd asks for it many times between two additions. */
-    private double mean = Double.NaN;
+    private double cachedMean = Double.NaN;
 
     void add(long value) {
-        mean = Double.NaN;
+        cachedMean = Double.NaN;
         counts[bin(value)]++;
-        if (++total >= FULL) {
+        if (++total >= HALVE_AT_COUNT) {
             total = 0;
-            for (int i = 0; i < BINS; i++) {
+            for (int i = 0; i < BIN_COUNT; i++) {
                 counts[i] /= 2;
                 total += counts[i];
             }
@@ -38,28 +38,28 @@
         if (total == 0) {
             return ifEmpty;
         }
-        if (Double.isNaN(mean)) {
+        if (Double.isNaN(cachedMean)) {
             double sum = 0;
-            for (int i = 0; i < BINS; i++) {
-                sum += counts[i] * MIDDLE[i];
+            for (int i = 0; i < BIN_COUNT; i++) {
+                sum += counts[i] * BIN_MIDDLE[i];
             }
-            mean = sum / total;
+            cachedMean = sum / total;
         }
-        return mean;
+        return cachedMean;
     }
 
-    double quantile(double part, double ifEmpty) {
+    double quantile(double ratio, double ifEmpty) {
         if (total == 0) {
             return ifEmpty;
         }
-        double below = 0;
-        for (int i = 0; i < BINS; i++) {
-            below += counts[i];
-            if (below >= part * total) {
-                return MIDDLE[i];
+        double cumulative = 0;
+        for (int i = 0; i < BIN_COUNT; i++) {
+            cumulative += counts[i];
+            if (cumulative >= ratio * total) {
+                return BIN_MIDDLE[i];
             }
         }
-        return MIDDLE[BINS - 1];
+        return BIN_MIDDLE[BIN_COUNT - 1];
     }
 
     private static int bin(long value) {
@@ -67,7 +67,7 @@
             return 0;
         }
         int octave = 63 - Long.numberOfLeadingZeros(value);
-        boolean upper = octave > 0 && value >= 1.4142135623730951 * (1L << octave);
-        return Math.min(BINS - 1, 1 + 2 * octave + (upper ? 1 : 0));
+        boolean upperHalf = octave > 0 && value >= 1.4142135623730951 * (1L << octave);
+        return Math.min(BIN_COUNT - 1, 1 + 2 * octave + (upperHalf ? 1 : 0));
     }
 }
--- a/instance/src/main/java/vetchrill/control/Host.java
+++ b/instance/src/main/java/vetchrill/control/Host.java
@@ -6,7 +6,7 @@
     void begin(Exchange ex);
 
     /** Final answer: turned away, promising that it never ran; {@code away} as advice, 0 for none. */
-    void deny(Exchange ex, long away, boolean giveUp);
+    void reject(Exchange ex, long retryAfter, boolean noRetry);
 
     /** Final answer: error, without a promise. */
     void terminate(Exchange ex);
@@ -15,29 +15,29 @@
     void interrupt(Exchange ex);
 
     /** Makes the call that the exchange waits for; given up at {@code until}. */
-    void call(Exchange ex, long until);
+    void call(Exchange ex, long deadline);
 
     /** Lets the exchange go on without its call. */
-    void leaveOut(Exchange ex);
+    void skipCall(Exchange ex);
 
     /** Answers a repeat from the exchange it repeats. */
     void replay(Exchange ex);
 
     /** Remembers a deduplicated exchange for {@code span} from now. */
-    void remember(Exchange ex, long span);
+    void storeDedupKey(Exchange ex, long ttl);
 
     /** Forgets it before its time. */
-    void forget(Exchange ex);
+    void dropDedupKey(Exchange ex);
 
     /** What health checks hear from now on. */
-    void health(boolean good);
+    void setHealth(boolean healthy);
 
     /** The free value that goes out with every answer. */
-    void say(double value);
+    void publishLoadHint(double hint);
 
     /** Connections idle for longer than this are closed. */
-    void idleTime(long span);
+    void setIdleTime(long idleTime);
 
-    /** Asks for one {@link OverloadController#gauges} that long from now. */
-    void wakeIn(long span);
+    /** Asks for one {@link OverloadController#onTick} that long from now. */
+    void scheduleTick(long delay);
 }
--- a/instance/src/main/java/vetchrill/program/ConsoleLog.java
+++ b/instance/src/main/java/vetchrill/program/ConsoleLog.java
@@ -10,24 +10,24 @@
  * when the process ends, and takes a tenth of a second to load on a shared core.
  */
 public final class ConsoleLog extends System.LoggerFinder {
-    private static final System.Logger.Level LEAST = level();
+    private static final System.Logger.Level MIN_LEVEL = configuredLevel();
 
     @Override
     public System.Logger getLogger(String name, Module module) {
-        return new Lines(name);
+        return new ConsoleLogger(name);
     }
 
-    private static System.Logger.Level level() {
-        String told = System.getenv("VETCHRILL_LOG");
+    private static System.Logger.Level configuredLevel() {
+        String configured = System.getenv("VETCHRILL_LOG");
         for (System.Logger.Level level : System.Logger.Level.values()) {
-            if (level.name().equalsIgnoreCase(told)) {
+            if (level.name().equalsIgnoreCase(configured)) {
                 return level;
             }
         }
         return System.Logger.Level.INFO;
     }
 
-    private record Lines(String name) implements System.Logger {
+    private record ConsoleLogger(String name) implements System.Logger {
         @Override
         public String getName() {
             return name;
@@ -35,7 +35,7 @@
 
         @Override
         public boolean isLoggable(Level level) {
-            return level.getSeverity() >= LEAST.getSeverity() && level != Level.OFF;
+            return level.getSeverity() >= MIN_LEVEL.getSeverity() && level != Level.OFF;
         }
 
         @Override
@@ -48,11 +48,11 @@
         @Override
         public void log(Level level, ResourceBundle bundle, String format, Object... values) {
             if (isLoggable(level)) {
-                Object[] plain = new Object[values == null ? 0 : values.length];
-                for (int i = 0; i < plain.length; i++) {
-                    plain[i] = String.valueOf(values[i]);
+                Object[] arguments = new Object[values == null ? 0 : values.length];
+                for (int i = 0; i < arguments.length; i++) {
+                    arguments[i] = String.valueOf(values[i]);
                 }
-                write(level, plain.length == 0 ? format : MessageFormat.format(format, plain));
+                write(level, arguments.length == 0 ? format : MessageFormat.format(format, arguments));
             }
         }
 
--- a/instance/src/main/java/vetchrill/program/Serve.java
+++ b/instance/src/main/java/vetchrill/program/InstanceRunner.java
@@ -11,7 +11,7 @@
 import java.util.function.LongFunction;
 import java.util.function.LongSupplier;
 import vetchrill.protocol.MembershipCall;
-import vetchrill.routing.Chain;
+import vetchrill.routing.ProcessingChain;
 import vetchrill.routing.Clock;
 import vetchrill.routing.DecisionThread;
 import vetchrill.routing.Recorder;
@@ -20,10 +20,10 @@
 import vetchrill.transport.Resources;
 
 /** One instance from its start to the end of its drain. */
-public final class Serve {
+public final class InstanceRunner {
     private static final System.Logger LOG = System.getLogger("vetchrill");
 
-    private Serve() {
+    private InstanceRunner() {
     }
 
     /** Serves until SIGTERM has been followed to its end; what the process exits with. */
@@ -37,84 +37,86 @@
     }
 
     /** Who is told of the chain before anything comes to it; what it throws ends the start with 2 and its message. */
-    public interface Beside {
-        void begin(Chain chain) throws IOException;
+    public interface Extension {
+        void start(ProcessingChain chain) throws IOException;
 
         /** On the thread that ends the process, which waits for it. */
-        void end();
+        void stop();
     }
 
     /** The same by a clock, and with something beside it unless that is null. */
-    public static int run(Map<String, String> environment, Recorder recorder, Clock clock, Beside beside) {
+    public static int run(Map<String, String> environment, Recorder recorder, Clock clock, Extension extension) {
         // Before all that takes time: either signal ends a process that has no handler for it yet, and what the system
         // accepted for it by then would be lost.
-        LinkedBlockingQueue<Notice> signals = new LinkedBlockingQueue<>();
-        List<String> ignored = handle(signals, clock);
-        Start start;
+        LinkedBlockingQueue<ReceivedSignal> signals = new LinkedBlockingQueue<>();
+        List<String> ignoredSignals = installSignalHandlers(signals, clock);
+        StartConfiguration start;
         try {
-            start = new Start(environment);
+            start = new StartConfiguration(environment);
         } catch (IllegalArgumentException e) {
             System.err.println("vetchrill: " + e.getMessage());
             return 2;
         }
         Limits limits = start.limits;
         DecisionThread thread = new DecisionThread(clock, limits);
-        Chain chain = new Chain(start.facts, start.seed, clock, thread,
-                new MembershipCall(start.members, start.name, limits), limits, recorder);
+        ProcessingChain chain = new ProcessingChain(start.settings, start.seed, clock, thread,
+                new MembershipCall(start.membershipAddress, start.name, limits), limits, recorder);
         Listener listener;
         try {
             listener = bind(start, limits, clock, chain, signals);
         } catch (IOException e) {
-            System.err.println("vetchrill: can't listen on " + start.listen + ": " + e.getMessage());
+            System.err.println("vetchrill: can't listen on " + start.listenAddress + ": " + e.getMessage());
             return 2;
         }
         if (listener == null) {
             return 0;
         }
         try {
-            if (beside != null) {
-                beside.begin(chain);
+            if (extension != null) {
+                extension.start(chain);
             }
         } catch (IOException | IllegalArgumentException e) {
             System.err.println("vetchrill: " + e.getMessage());
             return 2;
         }
-        Thread.setDefaultUncaughtExceptionHandler((where, e) -> {
+        Thread.setDefaultUncaughtExceptionHandler((failedThread, e) -> {
             // An instance that lost a thread is not to go on half dead while it still reports that it is well.
-            System.err.println("vetchrill: thread " + where.getName() + " failed");
+            System.err.println("vetchrill: thread " + failedThread.getName() + " failed");
             e.printStackTrace();
             Runtime.getRuntime().halt(70);
         });
-        CountDownLatch over = new CountDownLatch(1);
-        AtomicReference<Start> now = new AtomicReference<>(start);
-        LinkedBlockingQueue<Long> stops = new LinkedBlockingQueue<>();
-        for (String name : ignored) {
+        CountDownLatch drained = new CountDownLatch(1);
+        AtomicReference<StartConfiguration> current = new AtomicReference<>(start);
+        LinkedBlockingQueue<Long> reloadedDrainTimes = new LinkedBlockingQueue<>();
+        for (String name : ignoredSignals) {
             // The runtime leaves it so: whoever started this process from under nohup, say, is to hear of it.
             LOG.log(System.Logger.Level.ERROR, "SIG{0} was ignored by whoever started this process and stays so: "
                     + (name.equals("HUP") ? "a new configuration" : "the notice to leave") + " is never heard; "
                     + "start it by env --default-signal=HUP,TERM", name);
         }
-        Resources.daemon("decisions", () -> {
+        Resources.newDaemonThread("decisions", () -> {
             try {
-                thread.run(chain::decide);
+                thread.run(chain::executeDecisions);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
-        }, limits.threadStack * 4L).start();
+        }, limits.threadStackBytes * 4L).start();
         listener.start();
-        chain.start(start.interpreter);
+        chain.start(start.interpreterAddress);
         // Last: what a signal asks for needs all of the above.
-        Resources.daemon("signals", () -> follow(signals, stops, () -> reload(environment, now, chain),
-                leftAt -> drain(now.get(), leftAt, clock, chain, listener, stops, over)), limits.threadStack).start();
+        Resources.newDaemonThread("signals",
+                () -> handleSignals(signals, reloadedDrainTimes, () -> reloadConfiguration(environment, current, chain),
+                drainNoticeAt -> drainTask(current.get(), drainNoticeAt, clock, chain, listener, reloadedDrainTimes,
+                drained)), limits.threadStackBytes).start();
         LOG.log(System.Logger.Level.INFO, "{0} listens on {1}; {2} connections at most, {3} MB", start.name,
-                start.listen, limits.connections, limits.memoryBytes >> 20);
+                start.listenAddress, limits.targetConnections, limits.memoryBytes >> 20);
         try {
-            over.await();
+            drained.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        if (beside != null) {
-            beside.end();
+        if (extension != null) {
+            extension.stop();
         }
         if (recorder != null) {
             recorder.close();
@@ -123,14 +125,15 @@
     }
 
     /** A signal, and when it came. */
-    private record Notice(String name, long at) {
+    private record ReceivedSignal(String name, long receivedAt) {
     }
 
     /** Handlers and not a hook at exit, since hooks run beside each other and end with 143. Those that are ignored. */
-    private static List<String> handle(LinkedBlockingQueue<Notice> signals, Clock clock) {
+    private static List<String> installSignalHandlers(LinkedBlockingQueue<ReceivedSignal> signals, Clock clock) {
         List<String> ignored = new ArrayList<>();
         for (String name : List.of("HUP", "TERM")) {
-            if (sun.misc.Signal.handle(new sun.misc.Signal(name), signal -> signals.add(new Notice(name, clock.now())))
+            if (sun.misc.Signal.handle(new sun.misc.Signal(name),
+                    signal -> signals.add(new ReceivedSignal(name, clock.now())))
                     == sun.misc.SignalHandler.SIG_IGN) {
                 ignored.add(name);
             }
@@ -142,25 +145,26 @@
      * A process that drains under the same address holds it to its end: it is waited for, as nothing else would start
      * this one again. Null where the notice to leave comes first.
      */
-    private static Listener bind(Start start, Limits limits, Clock clock, Chain chain,
-            LinkedBlockingQueue<Notice> signals) throws IOException {
-        long giveUpAt = clock.now() + limits.bindWait;
-        boolean told = false;
+    private static Listener bind(StartConfiguration start, Limits limits, Clock clock, ProcessingChain chain,
+            LinkedBlockingQueue<ReceivedSignal> signals) throws IOException {
+        long deadline = clock.now() + limits.bindTimeoutTenthsMs;
+        boolean logged = false;
         while (true) {
             try {
-                return new Listener(start.listen, limits, chain::accepted);
+                return new Listener(start.listenAddress, limits, chain::onAccepted);
             } catch (BindException e) {
-                if (clock.now() >= giveUpAt) {
+                if (clock.now() >= deadline) {
                     throw e;
                 }
-                if (!told) {
-                    LOG.log(System.Logger.Level.WARNING, "can''t listen on {0} yet: {1}", start.listen, e.getMessage());
+                if (!logged) {
+                    LOG.log(System.Logger.Level.WARNING, "can''t listen on {0} yet: {1}", start.listenAddress,
+                            e.getMessage());
                 }
-                told = true;
-                if (signals.stream().anyMatch(notice -> notice.name.equals("TERM"))) {
+                logged = true;
+                if (signals.stream().anyMatch(signal -> signal.name.equals("TERM"))) {
                     return null;
                 }
-                Resources.pause(limits.bindAgain);
+                Resources.sleep(limits.bindRetryTenthsMs);
             }
         }
     }
@@ -169,20 +173,21 @@
      * One thread takes signals in their order, so that of two files in a row the later one counts; the drain has its
      * own, and hears of what is read after the notice only.
      */
-    private static void follow(LinkedBlockingQueue<Notice> signals, LinkedBlockingQueue<Long> stops,
+    private static void handleSignals(LinkedBlockingQueue<ReceivedSignal> signals,
+            LinkedBlockingQueue<Long> reloadedDrainTimes,
             LongSupplier reload, LongFunction<Runnable> drain) {
-        boolean leaving = false;
+        boolean draining = false;
         try {
             while (true) {
-                Notice notice = signals.take();
-                if (notice.name.equals("HUP")) {
-                    long stop = reload.getAsLong();
-                    if (leaving) {
-                        stops.add(stop);
+                ReceivedSignal signal = signals.take();
+                if (signal.name.equals("HUP")) {
+                    long drainTime = reload.getAsLong();
+                    if (draining) {
+                        reloadedDrainTimes.add(drainTime);
                     }
-                } else if (!leaving) {
-                    leaving = true;
-                    new Thread(drain.apply(notice.at), "drain").start();
+                } else if (!draining) {
+                    draining = true;
+                    new Thread(drain.apply(signal.receivedAt), "drain").start();
                 }
             }
         } catch (InterruptedException e) {
@@ -194,28 +199,31 @@
      * What the instance is and what it was told of its deployment stay; a file of no use changes nothing. The time from
      * the notice to the stop that holds now.
      */
-    private static long reload(Map<String, String> environment, AtomicReference<Start> now, Chain chain) {
+    private static long reloadConfiguration(Map<String, String> environment,
+            AtomicReference<StartConfiguration> current, ProcessingChain chain) {
         try {
-            Start told = new Start(environment);
-            chain.move(told.interpreter, told.members);
-            now.set(told);
+            StartConfiguration reloaded = new StartConfiguration(environment);
+            chain.updateAddresses(reloaded.interpreterAddress, reloaded.membershipAddress);
+            current.set(reloaded);
             LOG.log(System.Logger.Level.INFO, "configuration read again: interpreter {0}, members {1}",
-                    told.interpreter, told.members);
+                    reloaded.interpreterAddress, reloaded.membershipAddress);
         } catch (IllegalArgumentException e) {
             LOG.log(System.Logger.Level.ERROR, "configuration not taken: {0}", e.getMessage());
         }
-        return now.get().stop;
+        return current.get().drainTime;
     }
 
-    private static Runnable drain(Start start, long leftAt, Clock clock, Chain chain, Listener listener,
-            LinkedBlockingQueue<Long> stops, CountDownLatch over) {
+    private static Runnable drainTask(StartConfiguration start, long drainNoticeAt, Clock clock, ProcessingChain chain,
+            Listener listener,
+            LinkedBlockingQueue<Long> reloadedDrainTimes, CountDownLatch drained) {
         return () -> {
             try {
-                Drain.follow(clock, leftAt, start.stop, stops, stopAt -> Drain.steps(start.limits, chain, leftAt,
-                        stopAt, listener::close, over::countDown));
+                DrainStep.runAll(clock, drainNoticeAt, start.drainTime, reloadedDrainTimes,
+                        stopAt -> DrainStep.steps(start.limits, chain, drainNoticeAt,
+                        stopAt, listener::close, drained::countDown));
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
-                over.countDown();
+                drained.countDown();
             }
         };
     }
--- a/instance/src/main/java/vetchrill/program/Start.java
+++ b/instance/src/main/java/vetchrill/program/StartConfiguration.java
@@ -14,82 +14,84 @@
 import vetchrill.transport.Limits;
 
 /** All that an instance is told at start, decoded once. */
-final class Start {
+final class StartConfiguration {
     final String name;
-    final InetSocketAddress listen;
-    final InetSocketAddress interpreter;
-    final InetSocketAddress members;
+    final InetSocketAddress listenAddress;
+    final InetSocketAddress interpreterAddress;
+    final InetSocketAddress membershipAddress;
     final long seed;
-    final long stop;
+    final long drainTime;
     final Limits limits;
-    final DeploymentReader facts;
+    final DeploymentReader settings;
 
     /** Throws IllegalArgumentException with one plain line that names what is wrong. */
-    Start(Map<String, String> environment) {
+    StartConfiguration(Map<String, String> environment) {
         String file = environment.get("GW_CONFIG");
         if (file == null || file.isEmpty()) {
             throw new IllegalArgumentException("GW_CONFIG is not set");
         }
-        JsonNode told;
+        JsonNode root;
         try {
-            told = DeploymentReader.JSON.readTree(Files.readAllBytes(Path.of(file)));
+            root = DeploymentReader.JSON.readTree(Files.readAllBytes(Path.of(file)));
         } catch (IOException e) {
             throw new IllegalArgumentException("GW_CONFIG can't be read: " + e.getMessage().split("\n")[0]);
         }
-        if (told == null || !told.isObject()) {
+        if (root == null || !root.isObject()) {
             throw new IllegalArgumentException("GW_CONFIG holds no JSON object");
         }
-        name = environment.getOrDefault("GW_NAME", told.path("name").asText());
+        name = environment.getOrDefault("GW_NAME", root.path("name").asText());
         if (!name.matches("[A-Za-z0-9._-]+")) {
             throw new IllegalArgumentException("no usable name in GW_NAME or the configuration");
         }
-        listen = address("listen", environment.getOrDefault("GW_LISTEN", told.path("listen").asText()));
-        interpreter = address("vm", told.path("vm").asText());
-        members = address("members", told.path("members").asText());
+        listenAddress = address("listen", environment.getOrDefault("GW_LISTEN", root.path("listen").asText()));
+        interpreterAddress = address("vm", root.path("vm").asText());
+        membershipAddress = address("members", root.path("members").asText());
         try {
-            seed = Long.parseUnsignedLong(told.path("seed").asText(), 16);
+            seed = Long.parseUnsignedLong(root.path("seed").asText(), 16);
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException("seed is not hexadecimal: '" + told.path("seed").asText() + "'");
+            throw new IllegalArgumentException("seed is not hexadecimal: '" + root.path("seed").asText() + "'");
         }
-        stop = Math.round(told.path("stop_ms").asDouble() * 10);
-        if (stop <= 0) {
+        drainTime = Math.round(root.path("stop_ms").asDouble() * 10);
+        if (drainTime <= 0) {
             throw new IllegalArgumentException("stop_ms is missing");
         }
-        JsonNode given = told.path("limits");
-        if (!given.path("memory_mb").isNumber() || !given.path("sockets").isInt()) {
+        JsonNode limitsNode = root.path("limits");
+        if (!limitsNode.path("memory_mb").isNumber() || !limitsNode.path("sockets").isInt()) {
             throw new IllegalArgumentException("limits are incomplete");
         }
-        limits = new Limits((long) (given.path("memory_mb").asDouble() * (1 << 20)), given.path("sockets").asInt());
+        limits = new Limits((long) (limitsNode.path("memory_mb").asDouble() * (1 << 20)),
+                limitsNode.path("sockets").asInt());
         try {
-            facts = new DeploymentReader(told.path("settings"));
+            settings = new DeploymentReader(root.path("settings"));
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException("settings: " + e.getMessage());
         }
-        for (EndpointGroup group : facts.deployment.groups) {
-            String at = facts.groupNames.get(facts.deployment.groups.indexOf(group));
+        for (EndpointGroup group : settings.deployment.groups) {
+            String groupName = settings.groupNames.get(settings.deployment.groups.indexOf(group));
             if (group.mayCall) {
-                throw new IllegalArgumentException("settings: " + at + " makes calls, which this protocol has not");
+                throw new IllegalArgumentException("settings: " + groupName
+                        + " makes calls, which this protocol has not");
             }
         }
-        if (facts.deployment.preemption != Deployment.Preemption.NONE) {
+        if (settings.deployment.preemption != Deployment.Preemption.NONE) {
             throw new IllegalArgumentException("settings: work is to be stopped, which this protocol has not");
         }
-        if (facts.deployment.say != Deployment.Say.NOTHING) {
+        if (settings.deployment.loadHint != Deployment.LoadHint.NONE) {
             throw new IllegalArgumentException("settings: a free value is to be sent, which this protocol has not");
         }
     }
 
-    private static InetSocketAddress address(String what, String text) {
+    private static InetSocketAddress address(String key, String text) {
         int colon = text.lastIndexOf(':');
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
             String host = text.substring(0, Math.max(0, colon));
             if (!host.matches("[0-9.]+|\\[[0-9a-fA-F:.]+\\]")) {
-                throw new IllegalArgumentException(what + " is no address: '" + text + "'");
+                throw new IllegalArgumentException(key + " is no address: '" + text + "'");
             }
             return new InetSocketAddress(InetAddress.getByName(host), port);
         } catch (NumberFormatException | UnknownHostException e) {
-            throw new IllegalArgumentException(what + " is no address: '" + text + "'");
+            throw new IllegalArgumentException(key + " is no address: '" + text + "'");
         }
     }
 }
--- a/instance/src/main/java/vetchrill/protocol/DeploymentReader.java
+++ b/instance/src/main/java/vetchrill/protocol/DeploymentReader.java
@@ -13,99 +13,100 @@
     public static final ObjectMapper JSON = new ObjectMapper();
 
     /** What another version may tell anew of a group. */
-    private static final List<String> RETOLD = List.of("aimMs", "aimStretch", "deadlineMs", "gain", "lateShare");
+    private static final List<String> RELOADABLE_GROUP_KEYS = List.of("aimMs", "aimStretch", "deadlineMs", "gain",
+            "lateShare");
 
     public final Deployment deployment = new Deployment();
     /** Where each gauge stands in a row of gauges; -1 where it is not sent. */
-    public final int cpuAt;
-    public final int runnableAt;
-    public final int connectionsAt;
-    public final int memoryAt;
+    public final int cpuIndex;
+    public final int runnableIndex;
+    public final int connectionsIndex;
+    public final int memoryIndex;
     /** Names by which the door knows groups and customers, in the order of the deployment. */
     public final List<String> groupNames = new ArrayList<>();
     public final List<String> customerNames = new ArrayList<>();
 
     public DeploymentReader(String options) {
-        this(parsed(options));
+        this(parse(options));
     }
 
     public DeploymentReader(JsonNode root) {
         if (root == null || !root.isObject()) {
             throw new IllegalArgumentException("options are no JSON object");
         }
-        list(root, "customers");
-        list(root.path("familyInfo"), "meters");
-        for (JsonNode told : root.path("categories")) {
-            groupNames.add(told.path("name").asText());
+        requireList(root, "customers");
+        requireList(root.path("familyInfo"), "meters");
+        for (JsonNode groupNode : root.path("categories")) {
+            groupNames.add(groupNode.path("name").asText());
         }
-        JsonNode info = root.path("familyInfo");
-        JsonNode rules = root.path("guarantees");
-        Deployment d = deployment;
-        d.groups = groups(root, info);
+        JsonNode familyInfo = root.path("familyInfo");
+        JsonNode guarantees = root.path("guarantees");
+        Deployment decoded = deployment;
+        decoded.groups = readGroups(root, familyInfo);
         JsonNode customers = root.path("customers");
-        d.allowance = new double[customers.size()];
-        for (int i = 0; i < d.allowance.length; i++) {
+        decoded.allowancePerSecond = new double[customers.size()];
+        for (int i = 0; i < decoded.allowancePerSecond.length; i++) {
             customerNames.add(customers.get(i).path("name").asText());
-            d.allowance[i] = customers.get(i).path("allowancePerS").asDouble();
+            decoded.allowancePerSecond[i] = customers.get(i).path("allowancePerS").asDouble();
         }
-        d.benefitBeyondShare = root.path("overShareWorth").asDouble(1);
-        d.benefitByWork = "work".equals(root.path("valueBy").asText());
-        d.servers = Math.max(1, root.path("servers").asInt(1));
-        d.callers = Math.max(1, info.path("callers").asInt(1));
-        d.marksFurtherTries = root.path("clients").path("marksRetry").asBoolean();
-        d.below = root.path("tier").asInt() > 0;
-        d.cores = Math.max(1, info.path("cores").asInt(1));
-        d.memoryKb = info.path("ramKb").asDouble(Double.MAX_VALUE);
-        d.runGrowth = Math.max(1, info.path("runMemFactor").asDouble(1));
-        d.keyKb = info.path("keyKb").asDouble();
-        d.callerIdleTime = tenths(info, "idleMs", 15_000);
-        d.tick = tenths(root, "quantumMs", 5);
-        d.preemption = switch (info.path("preemption").asText("off")) {
+        decoded.benefitBeyondShare = root.path("overShareWorth").asDouble(1);
+        decoded.benefitScalesWithWork = "work".equals(root.path("valueBy").asText());
+        decoded.serverCount = Math.max(1, root.path("servers").asInt(1));
+        decoded.callerCount = Math.max(1, familyInfo.path("callers").asInt(1));
+        decoded.callersMarkRetries = root.path("clients").path("marksRetry").asBoolean();
+        decoded.backendTier = root.path("tier").asInt() > 0;
+        decoded.cores = Math.max(1, familyInfo.path("cores").asInt(1));
+        decoded.memoryKb = familyInfo.path("ramKb").asDouble(Double.MAX_VALUE);
+        decoded.runMemoryFactor = Math.max(1, familyInfo.path("runMemFactor").asDouble(1));
+        decoded.dedupKeyKb = familyInfo.path("keyKb").asDouble();
+        decoded.callerIdleTime = readTenthsMs(familyInfo, "idleMs", 15_000);
+        decoded.hostQuantum = readTenthsMs(root, "quantumMs", 5);
+        decoded.preemption = switch (familyInfo.path("preemption").asText("off")) {
             case "drop" -> Deployment.Preemption.DROP;
             case "pause" -> Deployment.Preemption.PAUSE;
             default -> Deployment.Preemption.NONE;
         };
-        d.say = switch (info.path("say").asText("off")) {
-            case "min_rank" -> Deployment.Say.LEAST_RANK;
-            case "tokens" -> Deployment.Say.TOKENS;
-            default -> Deployment.Say.NOTHING;
+        decoded.loadHint = switch (familyInfo.path("say").asText("off")) {
+            case "min_rank" -> Deployment.LoadHint.MIN_RANK;
+            case "tokens" -> Deployment.LoadHint.TOKENS;
+            default -> Deployment.LoadHint.NONE;
         };
-        d.callsShared = "common".equals(info.path("below").asText());
-        d.callsOut = info.path("callsOut").asDouble();
-        d.callsWindow = tenths(info, "depWindowMs", 0);
-        d.callLingers = tenths(info, "staysForMs", 0);
-        d.listFollowsHealth = info.path("listFollows").asBoolean();
-        d.cold = info.path("cold").asBoolean();
-        d.coldShare = rules.path("coldShare").asDouble(1);
-        d.warmUp = tenths(rules, "coldMs", 0);
-        d.crowdPerCore = rules.path("fallMultiple").asDouble(2);
-        d.drainGrace = tenths(rules, "stopSendingWithinMs", 0);
-        d.longestAway = tenths(root.path("limits"), "maxRetryAfterMs", 0);
-        JsonNode meters = info.path("meters");
-        cpuAt = position(meters, "cpu_busy");
-        runnableAt = position(meters, "runnable");
-        connectionsAt = position(meters, "sockets");
-        memoryAt = position(meters, "mem_used");
+        decoded.sharedDependency = "common".equals(familyInfo.path("below").asText());
+        decoded.callQuota = familyInfo.path("callsOut").asDouble();
+        decoded.callQuotaWindow = readTenthsMs(familyInfo, "depWindowMs", 0);
+        decoded.abandonedCallLinger = readTenthsMs(familyInfo, "staysForMs", 0);
+        decoded.discoveryFollowsHealth = familyInfo.path("listFollows").asBoolean();
+        decoded.startsCold = familyInfo.path("cold").asBoolean();
+        decoded.coldSpeedRatio = guarantees.path("coldShare").asDouble(1);
+        decoded.warmUpTime = readTenthsMs(guarantees, "coldMs", 0);
+        decoded.sustainableRunsPerCore = guarantees.path("fallMultiple").asDouble(2);
+        decoded.drainGrace = readTenthsMs(guarantees, "stopSendingWithinMs", 0);
+        decoded.maxRetryAfter = readTenthsMs(root.path("limits"), "maxRetryAfterMs", 0);
+        JsonNode meters = familyInfo.path("meters");
+        cpuIndex = indexOf(meters, "cpu_busy");
+        runnableIndex = indexOf(meters, "runnable");
+        connectionsIndex = indexOf(meters, "sockets");
+        memoryIndex = indexOf(meters, "mem_used");
     }
 
     /** The groups as another version tells of them, with what was measured of them here. */
-    public List<EndpointGroup> retold(DeploymentReader by) {
-        List<EndpointGroup> again = new ArrayList<>();
+    public List<EndpointGroup> reloadedGroups(DeploymentReader update) {
+        List<EndpointGroup> reloaded = new ArrayList<>();
         for (int i = 0; i < deployment.groups.size(); i++) {
-            EndpointGroup told = by.deployment.groups.get(i);
+            EndpointGroup updated = update.deployment.groups.get(i);
             EndpointGroup group = new EndpointGroup(deployment.groups.get(i));
-            group.effect = told.effect;
-            group.sloTime = told.sloTime;
-            group.sloStretch = told.sloStretch;
-            group.asyncTimeout = told.asyncTimeout;
-            group.benefit = told.benefit;
-            group.lateShare = told.lateShare;
-            group.window = told.window;
-            group.mayCall = told.mayCall;
-            group.benefitWithoutCall = told.benefitWithoutCall;
-            again.add(group);
+            group.effect = updated.effect;
+            group.sloTime = updated.sloTime;
+            group.sloWorkFactor = updated.sloWorkFactor;
+            group.asyncTimeout = updated.asyncTimeout;
+            group.benefit = updated.benefit;
+            group.lateBenefitShare = updated.lateBenefitShare;
+            group.dedupWindow = updated.dedupWindow;
+            group.mayCall = updated.mayCall;
+            group.benefitWithoutCall = updated.benefitWithoutCall;
+            reloaded.add(group);
         }
-        return again;
+        return reloaded;
     }
 
     /**
@@ -113,47 +114,47 @@
      * differs that it can't. Times, benefits and what being late costs may change; what the instance is, and its
      * groups and customers by number, name and effect, may not.
      */
-    public static String notRetold(JsonNode own, JsonNode other) {
+    public static String reloadObstacle(JsonNode own, JsonNode other) {
         if (other == null || !other.isObject()) {
             return "settings are no JSON object";
         }
         for (JsonNode group : other.path("categories")) {
-            for (String key : RETOLD) {
-                boolean least = key.equals("aimMs") || key.equals("deadlineMs");
+            for (String key : RELOADABLE_GROUP_KEYS) {
+                boolean mustBePositive = key.equals("aimMs") || key.equals("deadlineMs");
                 double value = group.path(key).asDouble(-1);
-                if (group.has(key) && !(group.path(key).isNumber() && (least ? value > 0 : value >= 0))) {
+                if (group.has(key) && !(group.path(key).isNumber() && (mustBePositive ? value > 0 : value >= 0))) {
                     return key + " of " + group.path("name").asText() + " is " + group.path(key)
-                            + ", should be a number " + (least ? "above 0" : "of 0 or more");
+                            + ", should be a number " + (mustBePositive ? "above 0" : "of 0 or more");
                 }
             }
         }
-        JsonNode mine = own.deepCopy();
-        JsonNode theirs = other.deepCopy();
-        for (JsonNode root : List.of(mine, theirs)) {
+        JsonNode ownFixed = own.deepCopy();
+        JsonNode otherFixed = other.deepCopy();
+        for (JsonNode root : List.of(ownFixed, otherFixed)) {
             for (JsonNode group : root.path("categories")) {
-                if (group instanceof com.fasterxml.jackson.databind.node.ObjectNode told) {
-                    told.remove(RETOLD);
+                if (group instanceof com.fasterxml.jackson.databind.node.ObjectNode groupObject) {
+                    groupObject.remove(RELOADABLE_GROUP_KEYS);
                 }
             }
         }
-        if (mine.equals(theirs)) {
+        if (ownFixed.equals(otherFixed)) {
             return null;
         }
         var names = new java.util.TreeSet<String>();
-        mine.fieldNames().forEachRemaining(names::add);
-        theirs.fieldNames().forEachRemaining(names::add);
-        names.removeIf(name -> mine.path(name).equals(theirs.path(name)));
+        ownFixed.fieldNames().forEachRemaining(names::add);
+        otherFixed.fieldNames().forEachRemaining(names::add);
+        names.removeIf(name -> ownFixed.path(name).equals(otherFixed.path(name)));
         return "only a start can change " + String.join(", ", names);
     }
 
     /** What stands in for a list by its size alone has no places to look at. */
-    private static void list(JsonNode node, String key) {
+    private static void requireList(JsonNode node, String key) {
         if (node.path(key).isObject()) {
             throw new IllegalArgumentException(key + " is no list");
         }
     }
 
-    private static JsonNode parsed(String options) {
+    private static JsonNode parse(String options) {
         try {
             return JSON.readTree(options);
         } catch (JsonProcessingException e) {
@@ -161,26 +162,26 @@
         }
     }
 
-    private static List<EndpointGroup> groups(JsonNode root, JsonNode info) {
+    private static List<EndpointGroup> readGroups(JsonNode root, JsonNode familyInfo) {
         List<EndpointGroup> groups = new ArrayList<>();
-        for (JsonNode told : root.path("categories")) {
+        for (JsonNode groupNode : root.path("categories")) {
             EndpointGroup group = new EndpointGroup();
-            group.effect = switch (told.path("effect").asText()) {
+            group.effect = switch (groupNode.path("effect").asText()) {
                 case "free" -> EndpointGroup.Effect.REPEATABLE;
                 case "guarded" -> EndpointGroup.Effect.DEDUPLICATED;
                 case "single_shot" -> EndpointGroup.Effect.MUTATING;
                 default -> throw new IllegalArgumentException(
-                        "unknown effect '" + told.path("effect").asText() + "' in options");
+                        "unknown effect '" + groupNode.path("effect").asText() + "' in options");
             };
-            group.asyncTimeout = tenths(told, "deadlineMs", 60_000);
-            group.sloTime = tenths(told, "aimMs", group.asyncTimeout / 10.0);
-            group.sloStretch = told.path("aimStretch").asDouble();
-            group.benefit = told.path("gain").asDouble(1);
-            group.lateShare = told.path("lateShare").asDouble();
-            group.window = tenths(told, "keyTtlMs", 0);
-            int at = groups.size();
-            group.mayCall = info.path("callsByClass").path(at).asBoolean();
-            group.benefitWithoutCall = info.path("worthWithout").path(at).asDouble();
+            group.asyncTimeout = readTenthsMs(groupNode, "deadlineMs", 60_000);
+            group.sloTime = readTenthsMs(groupNode, "aimMs", group.asyncTimeout / 10.0);
+            group.sloWorkFactor = groupNode.path("aimStretch").asDouble();
+            group.benefit = groupNode.path("gain").asDouble(1);
+            group.lateBenefitShare = groupNode.path("lateShare").asDouble();
+            group.dedupWindow = readTenthsMs(groupNode, "keyTtlMs", 0);
+            int index = groups.size();
+            group.mayCall = familyInfo.path("callsByClass").path(index).asBoolean();
+            group.benefitWithoutCall = familyInfo.path("worthWithout").path(index).asDouble();
             groups.add(group);
         }
         if (groups.isEmpty()) {
@@ -189,11 +190,11 @@
         return groups;
     }
 
-    private static long tenths(JsonNode node, String key, double otherwise) {
-        return Math.round(node.path(key).asDouble(otherwise) * 10);
+    private static long readTenthsMs(JsonNode node, String key, double defaultMs) {
+        return Math.round(node.path(key).asDouble(defaultMs) * 10);
     }
 
-    private static int position(JsonNode names, String name) {
+    private static int indexOf(JsonNode names, String name) {
         for (int i = 0; i < names.size(); i++) {
             if (names.get(i).asText().equals(name)) {
                 return i;
--- a/instance/src/main/java/vetchrill/protocol/Fields.java
+++ b/instance/src/main/java/vetchrill/protocol/Fields.java
@@ -10,53 +10,53 @@
     private final int[] valueSize = new int[255];
     private byte[] buf;
     private int count;
-    private int end;
+    private int bodyOffset;
 
     /** Reads the fields that start at {@code from}; what is wrong with them, or null. */
-    public String read(byte[] buf, int from, int to) {
+    public String parse(byte[] buf, int from, int to) {
         this.buf = buf;
         count = 0;
-        end = to;
+        bodyOffset = to;
         if (from >= to) {
             return "no fields";
         }
-        int told = buf[from] & 0xff;
-        int at = from + 1;
-        for (int i = 0; i < told; i++) {
-            if (at >= to) {
+        int declaredCount = buf[from] & 0xff;
+        int position = from + 1;
+        for (int i = 0; i < declaredCount; i++) {
+            if (position >= to) {
                 return "fields cut short";
             }
-            nameSize[i] = buf[at] & 0xff;
-            nameFrom[i] = at + 1;
-            at += 1 + nameSize[i];
-            if (at + 2 > to) {
+            nameSize[i] = buf[position] & 0xff;
+            nameFrom[i] = position + 1;
+            position += 1 + nameSize[i];
+            if (position + 2 > to) {
                 return "fields cut short";
             }
-            valueSize[i] = (buf[at] & 0xff) << 8 | buf[at + 1] & 0xff;
-            valueFrom[i] = at + 2;
-            at += 2 + valueSize[i];
-            if (at > to) {
+            valueSize[i] = (buf[position] & 0xff) << 8 | buf[position + 1] & 0xff;
+            valueFrom[i] = position + 2;
+            position += 2 + valueSize[i];
+            if (position > to) {
                 return "fields cut short";
             }
             for (int j = 0; j < i; j++) {
-                if (same(nameFrom[i], nameSize[i], nameFrom[j], nameSize[j])) {
+                if (sameBytes(nameFrom[i], nameSize[i], nameFrom[j], nameSize[j])) {
                     return "a field given twice";
                 }
             }
             count = i + 1;
         }
-        end = at;
+        bodyOffset = position;
         return null;
     }
 
-    private boolean same(int from, int size, int otherFrom, int otherSize) {
+    private boolean sameBytes(int from, int size, int otherFrom, int otherSize) {
         return size == otherSize
                 && java.util.Arrays.equals(buf, from, from + size, buf, otherFrom, otherFrom + size);
     }
 
     /** Where the fields end, and the body begins. */
-    public int end() {
-        return end;
+    public int bodyOffset() {
+        return bodyOffset;
     }
 
     /** The value of a field, or null where it is absent. */
@@ -66,12 +66,12 @@
     }
 
     /** The position in {@code names} of the value of a field; -1 where it is absent or none of them. */
-    public int among(String name, java.util.List<String> names) {
+    public int indexIn(String name, java.util.List<String> candidates) {
         int i = find(name);
         if (i >= 0) {
-            for (int at = 0; at < names.size(); at++) {
-                if (is(valueFrom[i], valueSize[i], names.get(at))) {
-                    return at;
+            for (int candidate = 0; candidate < candidates.size(); candidate++) {
+                if (equalsText(valueFrom[i], valueSize[i], candidates.get(candidate))) {
+                    return candidate;
                 }
             }
         }
@@ -79,18 +79,18 @@
     }
 
     /** Tells a slice to whoever asks. */
-    public interface Slice {
-        long of(byte[] buf, int from, int to);
+    public interface SliceFunction {
+        long apply(byte[] buf, int from, int to);
     }
 
     /** What {@code slice} makes of the value of a field; 0 where it is absent. */
-    public long told(String name, Slice slice) {
+    public long mapValue(String name, SliceFunction function) {
         int i = find(name);
-        return i < 0 ? 0 : slice.of(buf, valueFrom[i], valueFrom[i] + valueSize[i]);
+        return i < 0 ? 0 : function.apply(buf, valueFrom[i], valueFrom[i] + valueSize[i]);
     }
 
     /** A whole number of up to 18 digits; -1 where it is absent or no such number. */
-    public long whole(String name) {
+    public long wholeNumber(String name) {
         int i = find(name);
         if (i < 0 || valueSize[i] == 0 || valueSize[i] > 18) {
             return -1;
@@ -128,14 +128,14 @@
 
     private int find(String name) {
         for (int i = 0; i < count; i++) {
-            if (is(nameFrom[i], nameSize[i], name)) {
+            if (equalsText(nameFrom[i], nameSize[i], name)) {
                 return i;
             }
         }
         return -1;
     }
 
-    private boolean is(int from, int size, String text) {
+    private boolean equalsText(int from, int size, String text) {
         // Names told in the settings may hold more than ASCII; comparing bytes needs them as bytes only then.
         if (size == text.length()) {
             for (int i = 0; i < size; i++) {
--- a/instance/src/main/java/vetchrill/protocol/FrameReader.java
+++ b/instance/src/main/java/vetchrill/protocol/FrameReader.java
@@ -4,73 +4,73 @@
 import vetchrill.transport.Limits;
 
 /** Splits what a client stub sends into frames. */
-public final class FrameReader implements Connection.Input {
+public final class FrameReader implements Connection.InputHandler {
     /**
      * Who takes the frames; the payload is a slice of the buffer, good for the call only. False where nothing more
      * is to be read.
      */
-    public interface Taker {
-        boolean frame(int type, int stream, byte[] buf, int from, int to);
+    public interface Handler {
+        boolean onFrame(int type, int stream, byte[] buf, int from, int to);
 
         /** A frame whose length is allowed but of which no exchange has need; it is read past. */
-        boolean oversized(int type, int stream);
+        boolean onOversizedFrame(int type, int stream);
 
         /** The frames can't be told apart any more. */
-        void broken(String reason);
+        void onMalformedInput(String reason);
 
         /** Nothing more comes; {@code gone} where no answer would arrive either. */
-        void ended(boolean gone);
+        void onInputEnded(boolean disconnected);
     }
 
-    private static final int HEAD = 9;
+    private static final int HEADER_BYTES = 9;
 
     private final Limits limits;
-    private final Taker taker;
-    private int toSkip;
+    private final Handler handler;
+    private int bytesToSkip;
 
-    public FrameReader(Limits limits, Taker taker) {
+    public FrameReader(Limits limits, Handler handler) {
         this.limits = limits;
-        this.taker = taker;
+        this.handler = handler;
     }
 
     @Override
-    public int take(byte[] buf, int from, int to) {
-        int has = to - from;
-        if (toSkip > 0) {
-            int skipped = Math.min(toSkip, has);
-            toSkip -= skipped;
+    public int consume(byte[] buf, int from, int to) {
+        int available = to - from;
+        if (bytesToSkip > 0) {
+            int skipped = Math.min(bytesToSkip, available);
+            bytesToSkip -= skipped;
             return skipped;
         }
-        if (has < 4) {
+        if (available < 4) {
             return 0;
         }
-        long length = Frames.number(buf, from) & 0xffffffffL;
-        if (length < 5 || length > limits.longestFrame) {
-            taker.broken("a frame of length " + length);
+        long length = Frames.readInt(buf, from) & 0xffffffffL;
+        if (length < 5 || length > limits.maxFrameLengthBytes) {
+            handler.onMalformedInput("a frame of length " + length);
             return -1;
         }
-        if (has < HEAD) {
+        if (available < HEADER_BYTES) {
             return 0;
         }
         int type = buf[from + 4] & 0xff;
-        int stream = Frames.number(buf, from + 5);
-        if (length > limits.frame - 4) {
-            toSkip = (int) length - 5;
-            return taker.oversized(type, stream) ? HEAD : -1;
+        int stream = Frames.readInt(buf, from + 5);
+        if (length > limits.maxBufferedFrameBytes - 4) {
+            bytesToSkip = (int) length - 5;
+            return handler.onOversizedFrame(type, stream) ? HEADER_BYTES : -1;
         }
-        if (has < 4 + length) {
+        if (available < 4 + length) {
             return 0;
         }
-        if (type != Frames.EXCHANGE && type != Frames.CHECK) {
-            taker.broken("a frame of type " + type);
+        if (type != Frames.EXCHANGE && type != Frames.HEALTH_CHECK) {
+            handler.onMalformedInput("a frame of type " + type);
             return -1;
         }
-        boolean goesOn = taker.frame(type, stream, buf, from + HEAD, from + 4 + (int) length);
-        return goesOn ? 4 + (int) length : -1;
+        boolean keepReading = handler.onFrame(type, stream, buf, from + HEADER_BYTES, from + 4 + (int) length);
+        return keepReading ? 4 + (int) length : -1;
     }
 
     @Override
-    public void ended(String why, boolean gone) {
-        taker.ended(gone);
+    public void inputEnded(String reason, boolean disconnected) {
+        handler.onInputEnded(disconnected);
     }
 }
--- a/instance/src/main/java/vetchrill/protocol/Reports.java
+++ b/instance/src/main/java/vetchrill/protocol/HealthReportSink.java
@@ -4,10 +4,10 @@
 import java.net.InetSocketAddress;
 
 /** Where reports of health go. */
-public interface Reports {
+public interface HealthReportSink {
     /** Reports, and returns the status of the answer. */
-    int report(boolean up) throws IOException;
+    int report(boolean healthy) throws IOException;
 
     /** From any thread; the next report goes there. */
-    void move(InetSocketAddress to);
+    void moveTo(InetSocketAddress newAddress);
 }
--- a/instance/src/main/java/vetchrill/protocol/InterpreterLines.java
+++ b/instance/src/main/java/vetchrill/protocol/InterpreterLines.java
@@ -5,35 +5,35 @@
 import vetchrill.transport.Limits;
 
 /** The lines of the interpreter: its notices read, commands to it written. */
-public final class InterpreterLines implements Connection.Input {
+public final class InterpreterLines implements Connection.InputHandler {
     /** Who takes the notices; slices are good for the call only. */
-    public interface Taker {
-        void banner(String state, long sinceStart);
+    public interface Handler {
+        void onBanner(String state, long sinceStart);
 
-        void value(long number, String id, String end, long took, byte[] buf, int from, int to);
+        void onValue(long noticeNumber, String id, String outcome, long runTime, byte[] buf, int from, int to);
 
-        void gauges(String tag, double[] row);
+        void onGauges(String tag, double[] row);
 
-        void error(String text);
+        void onError(String text);
 
         /** A numbered remark. */
-        void remark(long number, String text);
+        void onTrace(long noticeNumber, String text);
 
-        void ended(String why);
+        void onInputEnded(String reason);
     }
 
     private static final System.Logger LOG = System.getLogger("vetchrill.link");
 
     private final Limits limits;
-    private final Taker taker;
+    private final Handler handler;
 
-    public InterpreterLines(Limits limits, Taker taker) {
+    public InterpreterLines(Limits limits, Handler handler) {
         this.limits = limits;
-        this.taker = taker;
+        this.handler = handler;
     }
 
-    public static byte[] connect(long lastRead) {
-        return ("CONNECT " + lastRead + "\r\n").getBytes(StandardCharsets.UTF_8);
+    public static byte[] connect(long lastNoticeNumber) {
+        return ("CONNECT " + lastNoticeNumber + "\r\n").getBytes(StandardCharsets.UTF_8);
     }
 
     public static byte[] top(String tag) {
@@ -42,16 +42,16 @@
 
     public static byte[] apply(String id, String group, byte[] body) {
         byte[] line = ("APPLY " + id + " " + group + " " + body.length + "\r\n").getBytes(StandardCharsets.UTF_8);
-        byte[] whole = new byte[line.length + body.length + 2];
-        System.arraycopy(line, 0, whole, 0, line.length);
-        System.arraycopy(body, 0, whole, line.length, body.length);
-        whole[whole.length - 2] = '\r';
-        whole[whole.length - 1] = '\n';
-        return whole;
+        byte[] command = new byte[line.length + body.length + 2];
+        System.arraycopy(line, 0, command, 0, line.length);
+        System.arraycopy(body, 0, command, line.length, body.length);
+        command[command.length - 2] = '\r';
+        command[command.length - 1] = '\n';
+        return command;
     }
 
     @Override
-    public int take(byte[] buf, int from, int to) {
+    public int consume(byte[] buf, int from, int to) {
         int end = from;
         while (end < to && buf[end] != '\n') {
             end++;
@@ -59,35 +59,35 @@
         if (end == to) {
             return 0;
         }
-        int bare = end > from && buf[end - 1] == '\r' ? end - 1 : end;
-        String line = new String(buf, from, bare - from, StandardCharsets.UTF_8);
+        int lineEnd = end > from && buf[end - 1] == '\r' ? end - 1 : end;
+        String line = new String(buf, from, lineEnd - from, StandardCharsets.UTF_8);
         String[] words = line.split(" ");
         try {
             switch (words[0]) {
                 case "VALUE" -> {
                     int length = Integer.parseInt(words[5]);
-                    if (length < 0 || length > limits.line / 2) {
+                    if (length < 0 || length > limits.maxLineBytes / 2) {
                         LOG.log(System.Logger.Level.ERROR, "the interpreter tells of a result of {0} bytes", length);
                         return -1;
                     }
-                    int after = end + 1 + length + 2;
-                    if (after > to) {
+                    int valueEnd = end + 1 + length + 2;
+                    if (valueEnd > to) {
                         return 0;
                     }
-                    taker.value(Long.parseLong(words[1]), words[2], words[3], tenths(words[4]),
+                    handler.onValue(Long.parseLong(words[1]), words[2], words[3], parseTenthsMs(words[4]),
                             buf, end + 1, end + 1 + length);
-                    return after - from;
+                    return valueEnd - from;
                 }
                 case "TOPS" -> {
                     double[] row = new double[words.length - 2];
                     for (int i = 0; i < row.length; i++) {
                         row[i] = Double.parseDouble(words[i + 2]);
                     }
-                    taker.gauges(words[1], row);
+                    handler.onGauges(words[1], row);
                 }
-                case "BANNER" -> taker.banner(words[1], tenths(words[2]));
-                case "ERROR" -> taker.error(line);
-                case "TRACE" -> taker.remark(Long.parseLong(words[1]), line);
+                case "BANNER" -> handler.onBanner(words[1], parseTenthsMs(words[2]));
+                case "ERROR" -> handler.onError(line);
+                case "TRACE" -> handler.onTrace(Long.parseLong(words[1]), line);
                 default -> LOG.log(System.Logger.Level.DEBUG, "skipped from the interpreter: {0}", line);
             }
         } catch (NumberFormatException | ArrayIndexOutOfBoundsException | NegativeArraySizeException e) {
@@ -98,11 +98,11 @@
     }
 
     @Override
-    public void ended(String why, boolean gone) {
-        taker.ended(why);
+    public void inputEnded(String reason, boolean disconnected) {
+        handler.onInputEnded(reason);
     }
 
-    private static long tenths(String millis) {
+    private static long parseTenthsMs(String millis) {
         return Math.round(Double.parseDouble(millis) * 10);
     }
 }
--- a/instance/src/main/java/vetchrill/protocol/MembershipCall.java
+++ b/instance/src/main/java/vetchrill/protocol/MembershipCall.java
@@ -11,19 +11,19 @@
 import vetchrill.transport.Resources;
 
 /** One report to the membership service, on a connection that is kept between reports while it lasts. */
-public final class MembershipCall implements Reports {
+public final class MembershipCall implements HealthReportSink {
     /** What a service answers: its status, and whether the connection may be used again. */
-    record Answer(int code, boolean lasts) {
+    record Response(int status, boolean keepAlive) {
     }
 
-    private static final int LONGEST_HEAD = 8 << 10;
+    private static final int MAX_HEADER_BYTES = 8 << 10;
 
     private volatile InetSocketAddress address;
     private final String name;
     private final Limits limits;
     private Socket socket;
-    private InetSocketAddress socketTo;
-    private Timed in;
+    private InetSocketAddress connectedAddress;
+    private DeadlineInputStream in;
 
     public MembershipCall(InetSocketAddress address, String name, Limits limits) {
         this.address = address;
@@ -32,29 +32,29 @@
     }
 
     @Override
-    public void move(InetSocketAddress to) {
-        address = to;
+    public void moveTo(InetSocketAddress newAddress) {
+        address = newAddress;
     }
 
     @Override
-    public int report(boolean up) throws IOException {
-        InetSocketAddress to = address;
-        if (to != socketTo) {
+    public int report(boolean healthy) throws IOException {
+        InetSocketAddress target = address;
+        if (target != connectedAddress) {
             close();
         }
-        boolean kept = socket != null;
+        boolean reused = socket != null;
         try {
-            return once(up, to);
+            return sendReport(healthy, target);
         } catch (IOException e) {
             close();
             // One without an answer has arrived all the same: it is not sent twice.
-            if (!kept || e instanceof SocketTimeoutException) {
+            if (!reused || e instanceof SocketTimeoutException) {
                 throw e;
             }
         }
         // The kept connection may have been closed meanwhile; a report may arrive twice without harm.
         try {
-            return once(up, to);
+            return sendReport(healthy, target);
         } catch (IOException e) {
             close();
             throw e;
@@ -63,87 +63,87 @@
 
     private void close() {
         if (socket != null) {
-            Resources.close(socket);
+            Resources.closeQuietly(socket);
             socket = null;
         }
     }
 
-    private int once(boolean up, InetSocketAddress to) throws IOException {
+    private int sendReport(boolean healthy, InetSocketAddress target) throws IOException {
         // For all of the call: one that comes in pieces would else hold up the next report for as many waits.
-        long until = System.nanoTime() + limits.reportWait * 100_000;
+        long deadlineNanos = System.nanoTime() + limits.reportTimeoutTenthsMs * 100_000;
         if (socket == null) {
-            Socket fresh = new Socket();
-            socket = fresh;
-            socketTo = to;
-            fresh.setTcpNoDelay(true);
-            fresh.connect(to, (int) (limits.reportWait / 10));
-            in = new Timed(fresh);
+            Socket newSocket = new Socket();
+            socket = newSocket;
+            connectedAddress = target;
+            newSocket.setTcpNoDelay(true);
+            newSocket.connect(target, (int) (limits.reportTimeoutTenthsMs / 10));
+            in = new DeadlineInputStream(newSocket);
         }
-        in.until = until;
-        String body = up ? "{\"phase\":\"UP\"}" : "{\"phase\":\"OUT\"}";
-        String call = "PUT /members/" + name + " HTTP/1.1\r\nHost: " + to.getHostString() + ":"
-                + to.getPort() + "\r\nContent-Type: application/json\r\nContent-Length: " + body.length()
+        in.deadlineNanos = deadlineNanos;
+        String body = healthy ? "{\"phase\":\"UP\"}" : "{\"phase\":\"OUT\"}";
+        String request = "PUT /members/" + name + " HTTP/1.1\r\nHost: " + target.getHostString() + ":"
+                + target.getPort() + "\r\nContent-Type: application/json\r\nContent-Length: " + body.length()
                 + "\r\n\r\n" + body;
         OutputStream out = socket.getOutputStream();
-        out.write(call.getBytes(StandardCharsets.US_ASCII));
-        Answer answer = read(in);
-        if (!answer.lasts || in.at < in.filled) {
+        out.write(request.getBytes(StandardCharsets.US_ASCII));
+        Response response = readResponse(in);
+        if (!response.keepAlive || in.position < in.filledBytes) {
             close();
         }
-        return answer.code;
+        return response.status;
     }
 
     /** What a socket gives until a time, read in pieces as large as they come. */
-    private static final class Timed extends InputStream {
+    private static final class DeadlineInputStream extends InputStream {
         private final Socket socket;
         private final InputStream in;
         private final byte[] buf = new byte[512];
-        private long until;
-        private int at;
-        private int filled;
+        private long deadlineNanos;
+        private int position;
+        private int filledBytes;
 
-        Timed(Socket socket) throws IOException {
+        DeadlineInputStream(Socket socket) throws IOException {
             this.socket = socket;
             in = socket.getInputStream();
         }
 
         @Override
         public int read() throws IOException {
-            if (at == filled) {
-                long left = (until - System.nanoTime()) / 1_000_000;
-                if (left <= 0) {
+            if (position == filledBytes) {
+                long remainingMs = (deadlineNanos - System.nanoTime()) / 1_000_000;
+                if (remainingMs <= 0) {
                     throw new SocketTimeoutException("no whole answer in time");
                 }
-                socket.setSoTimeout((int) left);
-                at = 0;
-                filled = Math.max(0, in.read(buf));
-                if (filled == 0) {
+                socket.setSoTimeout((int) remainingMs);
+                position = 0;
+                filledBytes = Math.max(0, in.read(buf));
+                if (filledBytes == 0) {
                     return -1;
                 }
             }
-            return buf[at++] & 0xff;
+            return buf[position++] & 0xff;
         }
     }
 
     /** One answer and no byte past it; throws IOException for what is none, or has no end in sight. */
-    static Answer read(InputStream in) throws IOException {
-        String status = line(in);
-        String[] words = status.split(" ");
+    static Response readResponse(InputStream in) throws IOException {
+        String statusLine = readLine(in);
+        String[] words = statusLine.split(" ");
         if (words.length < 2 || !words[0].startsWith("HTTP/1.") || words[1].length() != 3) {
-            throw new IOException("no answer of HTTP/1.1: " + status);
+            throw new IOException("no answer of HTTP/1.1: " + statusLine);
         }
-        int code;
+        int status;
         try {
-            code = Integer.parseInt(words[1]);
+            status = Integer.parseInt(words[1]);
         } catch (NumberFormatException e) {
-            throw new IOException("no answer of HTTP/1.1: " + status);
+            throw new IOException("no answer of HTTP/1.1: " + statusLine);
         }
-        boolean lasts = words[0].equals("HTTP/1.1");
-        long length = code == 204 || code == 304 ? 0 : -1;
-        int head = 0;
-        for (String header = line(in); !header.isEmpty(); header = line(in)) {
-            head += header.length();
-            if (head > LONGEST_HEAD) {
+        boolean keepAlive = words[0].equals("HTTP/1.1");
+        long length = status == 204 || status == 304 ? 0 : -1;
+        int headerBytes = 0;
+        for (String header = readLine(in); !header.isEmpty(); header = readLine(in)) {
+            headerBytes += header.length();
+            if (headerBytes > MAX_HEADER_BYTES) {
                 throw new IOException("a head without an end");
             }
             int colon = header.indexOf(':');
@@ -152,24 +152,24 @@
                 try {
                     length = Long.parseLong(value);
                 } catch (NumberFormatException e) {
-                    lasts = false;
+                    keepAlive = false;
                 }
             } else if (header.regionMatches(true, 0, "connection:", 0, 11) && value.equalsIgnoreCase("close")) {
-                lasts = false;
+                keepAlive = false;
             }
         }
         // An answer whose end isn't told plainly costs the connection, not a parser for every way to tell it.
-        if (!lasts || length < 0 || length > LONGEST_HEAD) {
-            return new Answer(code, false);
+        if (!keepAlive || length < 0 || length > MAX_HEADER_BYTES) {
+            return new Response(status, false);
         }
         in.skipNBytes(length);
-        return new Answer(code, true);
+        return new Response(status, true);
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int c = in.read(); c != '\n'; c = in.read()) {
-            if (c < 0 || line.length() > LONGEST_HEAD) {
+            if (c < 0 || line.length() > MAX_HEADER_BYTES) {
                 throw new IOException("the answer ends early");
             }
             if (c != '\r') {
--- a/instance/src/main/java/vetchrill/routing/Clock.java
+++ b/instance/src/main/java/vetchrill/routing/Clock.java
@@ -7,34 +7,34 @@
  * all else runs on from there, so that a step of the clock can't stop a timer or lose a due answer.
  */
 public final class Clock {
-    private static final long STEP = 200;
+    private static final long MIN_STEP_TENTHS_MS = 200;
 
     private final LongSupplier wall;
     /** Null for the system's: read several times an exchange, and a call through an interface is never inlined. */
     private final LongSupplier nanos;
-    private final long origin;
-    private final long started;
+    private final long wallAtStart;
+    private final long nanosAtStart;
     /** By how much the system's clock is off this one, and was before that changed last. */
-    private record Steps(long now, long before, long changed) {
+    private record WallOffset(long current, long previous, long changedAt) {
     }
 
-    private volatile Steps steps = new Steps(0, 0, Long.MIN_VALUE / 2);
+    private volatile WallOffset wallOffset = new WallOffset(0, 0, Long.MIN_VALUE / 2);
 
     /** The clocks of the system. */
     public Clock() {
-        this(Clock::systemWall, null);
+        this(Clock::systemWallTime, null);
     }
 
     /** {@code wall} tells tenths of a millisecond of Unix time and may step; {@code nanos} never does. */
     public Clock(LongSupplier wall, LongSupplier nanos) {
         this.wall = wall;
         this.nanos = nanos;
-        origin = wall.getAsLong();
-        started = nanos();
+        wallAtStart = wall.getAsLong();
+        nanosAtStart = nanos();
     }
 
     public long now() {
-        return origin + (nanos() - started) / 100_000;
+        return wallAtStart + (nanos() - nanosAtStart) / 100_000;
     }
 
     private long nanos() {
@@ -47,34 +47,35 @@
      * clock was stepped was stamped before that, and read by the new clock would be as much too old, or not be past the
      * grace of a drain though it is: of the two it is taken for the later one that is not yet to come.
      */
-    long stamped(long stamp, long oldest) {
+    long fromWallMillis(long wallMillis, long maxAge) {
         long now = now();
-        Steps seen = watch(now);
-        long at = stamp * 10 - seen.now;
-        long before = stamp * 10 - seen.before;
-        if (now - seen.changed <= oldest && before <= now + STEP && (before > at || at > now + STEP)) {
-            at = before;
+        WallOffset offset = detectStep(now);
+        long byCurrentOffset = wallMillis * 10 - offset.current;
+        long byPreviousOffset = wallMillis * 10 - offset.previous;
+        if (now - offset.changedAt <= maxAge && byPreviousOffset <= now + MIN_STEP_TENTHS_MS
+                && (byPreviousOffset > byCurrentOffset || byCurrentOffset > now + MIN_STEP_TENTHS_MS)) {
+            byCurrentOffset = byPreviousOffset;
         }
-        return Math.max(now - oldest, Math.min(now, at));
+        return Math.max(now - maxAge, Math.min(now, byCurrentOffset));
     }
 
     /** Looks whether the system's clock has stepped: often enough that none of its steps is passed over. */
-    void watch() {
-        watch(now());
+    void detectStep() {
+        detectStep(now());
     }
 
-    private Steps watch(long now) {
-        long off = wall.getAsLong() - now;
-        Steps seen = steps;
-        if (Math.abs(off - seen.now) > STEP) {
-            seen = new Steps(off, seen.now, now);
-            steps = seen;
+    private WallOffset detectStep(long now) {
+        long currentOffset = wall.getAsLong() - now;
+        WallOffset offset = wallOffset;
+        if (Math.abs(currentOffset - offset.current) > MIN_STEP_TENTHS_MS) {
+            offset = new WallOffset(currentOffset, offset.current, now);
+            wallOffset = offset;
         }
-        return seen;
+        return offset;
     }
 
-    private static long systemWall() {
-        java.time.Instant at = java.time.Instant.now();
-        return at.getEpochSecond() * 10_000 + at.getNano() / 100_000;
+    private static long systemWallTime() {
+        java.time.Instant instant = java.time.Instant.now();
+        return instant.getEpochSecond() * 10_000 + instant.getNano() / 100_000;
     }
 }
--- /dev/null
+++ b/instance/src/main/java/vetchrill/routing/InterpreterMessageHandler.java
@@ -0,0 +1,95 @@
+package vetchrill.routing;
+
+import vetchrill.control.EndpointGroup.Effect;
+import vetchrill.control.Exchange.Outcome;
+import vetchrill.protocol.Frames;
+import vetchrill.protocol.InterpreterLines;
+import vetchrill.transport.Connection;
+
+/** What comes from the interpreter over one link: results go back unchanged. Read on the link's own thread. */
+final class InterpreterMessageHandler implements InterpreterLines.Handler {
+    private static final System.Logger LOG = System.getLogger("vetchrill.link");
+
+    private final ProcessingChain chain;
+    private final Connection link;
+
+    InterpreterMessageHandler(ProcessingChain chain, Connection link) {
+        this.chain = chain;
+        this.link = link;
+    }
+
+    @Override
+    public void onBanner(String state, long sinceStart) {
+        chain.thread.post(() -> chain.onBanner(link, state, sinceStart));
+    }
+
+    @Override
+    public void onValue(long number, String id, String runStatus, long runDuration, byte[] buf, int from, int to) {
+        // The one copy of the result: it must outlive the link's buffer, and its stream is not known here.
+        byte[] answerFrame = runStatus.equals("good") ? Frames.completed(0, buf, from, to) : null;
+        chain.thread.post(() -> onRunEnd(number, id, runStatus, runDuration, answerFrame));
+    }
+
+    private void onRunEnd(long number, String id, String runStatus, long runDuration, byte[] answerFrame) {
+        if (!chain.isNewNotice(number)) {
+            return;
+        }
+        OpenExchange ex = chain.registry.find(id);
+        if (ex == null || !ex.started || ex.isFinished()) {
+            LOG.log(System.Logger.Level.DEBUG, "a run that is over already: {0} {1}", id, runStatus);
+            return;
+        }
+        long now = chain.clock.now();
+        Outcome outcome = switch (runStatus) {
+            case "good" -> Outcome.COMPLETED;
+            case "bad" -> Outcome.ERRORED;
+            case "cut" -> ex.group.effect == Effect.REPEATABLE ? Outcome.PREEMPTED : Outcome.CONNECTION_LOST;
+            case "gone" -> Outcome.NOT_STARTED;
+            default -> Outcome.CONNECTION_LOST;
+        };
+        if (LOG.isLoggable(System.Logger.Level.DEBUG)) {
+            LOG.log(System.Logger.Level.DEBUG, "over {0} {1} {2} after {3} ms, {4} ms on its run", runStatus,
+                    ex.groupName,
+                    id, (now - ex.arrivedAt) / 10, runDuration / 10);
+        }
+        // First its room is given back, then the answer goes out: the stub may send the next at once.
+        chain.admission.onRunFinished(ex, outcome, runDuration, answerFrame);
+        if (!ex.hasAnswer && outcome != Outcome.PREEMPTED) {
+            if (outcome == Outcome.COMPLETED) {
+                chain.registry.complete(ex, answerFrame, now);
+            } else {
+                chain.registry.terminate(ex, now);
+            }
+        }
+    }
+
+    @Override
+    public void onGauges(String tag, double[] values) {
+        chain.thread.post(() -> chain.interpreterClient.onGauges(tag, values));
+    }
+
+    @Override
+    public void onError(String text) {
+        chain.thread.post(() -> {
+            String[] words = text.split(" ");
+            OpenExchange ex = words.length > 2 ? chain.registry.find(words[2]) : null;
+            if (ex == null) {
+                LOG.log(System.Logger.Level.WARNING, "the interpreter did not carry out: {0}", text);
+            } else if (ex.started && !ex.isFinished()) {
+                chain.admission.countViolation(ex, "the interpreter knows nothing of it: " + text);
+                chain.admission.onRunFinished(ex, Outcome.NOT_STARTED, 0);
+                chain.registry.terminate(ex, chain.clock.now());
+            }
+        });
+    }
+
+    @Override
+    public void onTrace(long number, String text) {
+        chain.thread.post(() -> chain.isNewNotice(number));
+    }
+
+    @Override
+    public void onInputEnded(String reason) {
+        chain.thread.post(() -> chain.onLinkLost(link, reason));
+    }
+}
--- a/instance/src/main/java/vetchrill/routing/Recorder.java
+++ b/instance/src/main/java/vetchrill/routing/Recorder.java
@@ -10,57 +10,57 @@
     byte DENIED = 2;
     byte TERMINATED = 3;
     /** Its connection was reset, so that no answer could reach its caller. */
-    byte LEFT = 4;
+    byte DISCONNECTED = 4;
 
     /** One exchange, written down when it is answered and nothing of it runs any more. Times as on {@link Clock}. */
     final class ExchangeRow {
         /** As its stub names it, and the version by which it was decided. */
         public long id;
         public long version;
-        public long arrived;
+        public long arrivedAt;
         /** When it came to the decision thread: what lies between is its reading. */
-        public long heard;
+        public long dequeuedAt;
         public int group;
         public int customer;
         /** The number that its stub goes by. */
-        public long stub;
+        public long stubNumber;
         /** What {@link Recorder#subject} made of its subject; 0 where it names none. */
         public long subject;
         public float kb;
         public int bytes;
         /** When its run was begun; 0 where it never ran. */
-        public long begun;
+        public long startedAt;
         /** How long its run took by the interpreter's word, in tenths of a millisecond. */
-        public long took;
-        public long answered;
-        public byte answer;
+        public long runDuration;
+        public long answeredAt;
+        public byte answerKind;
         /** The advice that went with a denial: tenths of a millisecond to stay away, 0 for none. */
-        public long away;
-        public boolean giveUp;
+        public long retryAfter;
+        public boolean doNotRetry;
 
-        public void copy(ExchangeRow from) {
-            id = from.id;
-            version = from.version;
-            arrived = from.arrived;
-            heard = from.heard;
-            group = from.group;
-            customer = from.customer;
-            stub = from.stub;
-            subject = from.subject;
-            kb = from.kb;
-            bytes = from.bytes;
-            begun = from.begun;
-            took = from.took;
-            answered = from.answered;
-            answer = from.answer;
-            away = from.away;
-            giveUp = from.giveUp;
+        public void copyFrom(ExchangeRow other) {
+            id = other.id;
+            version = other.version;
+            arrivedAt = other.arrivedAt;
+            dequeuedAt = other.dequeuedAt;
+            group = other.group;
+            customer = other.customer;
+            stubNumber = other.stubNumber;
+            subject = other.subject;
+            kb = other.kb;
+            bytes = other.bytes;
+            startedAt = other.startedAt;
+            runDuration = other.runDuration;
+            answeredAt = other.answeredAt;
+            answerKind = other.answerKind;
+            retryAfter = other.retryAfter;
+            doNotRetry = other.doNotRetry;
         }
     }
 
     /** One look at the gauges. */
-    final class LookRow {
-        public long at;
+    final class GaugeRow {
+        public long sampledAt;
         public float cpu;
         public float runnable;
         public float memory;
@@ -74,22 +74,22 @@
     long subject(byte[] buf, int from, int to);
 
     /** On the decision thread; null where there is no room. */
-    ExchangeRow claimExchange();
+    ExchangeRow claimExchangeRow();
 
     void put(ExchangeRow row);
 
     /** On the decision thread: a run of it is asked for, for the first time. */
-    default void begun(long id, long version, int group, int customer, long at) {
+    default void runRequested(long id, long version, int group, int customer, long at) {
     }
 
     /** On the decision thread: what arrives from now on is decided by this version. */
-    default void taken(long version) {
+    default void versionActivated(long version) {
     }
 
     /** On the decision thread; null where there is no room. */
-    LookRow claimLook();
+    GaugeRow claimGaugeRow();
 
-    void put(LookRow row);
+    void put(GaugeRow row);
 
     /** At the end of the drain, on the main thread: what was put is written. */
     void close();
--- a/instance/src/main/java/vetchrill/routing/Stub.java
+++ b/instance/src/main/java/vetchrill/routing/StubConnection.java
@@ -6,39 +6,39 @@
 import vetchrill.transport.Connection;
 
 /** One connection of a client stub, as the decision thread knows it. */
-final class Stub {
+final class StubConnection {
     final Connection connection;
-    final Map<Integer, Open> open = new LinkedHashMap<>();
+    final Map<Integer, OpenExchange> openByStream = new LinkedHashMap<>();
     /** Exchanges that were read from it and have not come to the decision thread. */
-    final AtomicInteger onTheWay = new AtomicInteger();
+    final AtomicInteger queuedArrivals = new AtomicInteger();
     /** What it did that no stub does; past a few of them nothing more is read from it. */
-    final AtomicInteger strikes = new AtomicInteger();
+    final AtomicInteger violations = new AtomicInteger();
     /** When the last whole frame was read or the last answer given; its accept before either. */
-    volatile long lastUsed;
+    volatile long lastUsedAt;
     /** A whole frame has come. */
-    volatile boolean heard;
+    volatile boolean frameReceived;
     /** It carried an exchange; one for health checks is idle between any two of them. */
-    boolean carried;
+    boolean carriedExchange;
     /** It was told that nothing new is taken. */
-    boolean closing;
+    boolean draining;
     /** Nothing more is read from it. */
-    boolean ended;
+    boolean readEnded;
     /** Closed by this side: what still arrives is not to be run, as its stub sends it elsewhere. */
     boolean closed;
     long closedAt;
 
-    Stub(Connection connection, long now) {
+    StubConnection(Connection connection, long now) {
         this.connection = connection;
-        lastUsed = now;
+        lastUsedAt = now;
     }
 
     /** On the reader's thread: a whole frame has come. */
-    void hears(long now) {
-        lastUsed = now;
-        heard = true;
+    void onFrame(long now) {
+        lastUsedAt = now;
+        frameReceived = true;
     }
 
-    boolean idle() {
-        return open.isEmpty() && onTheWay.get() == 0;
+    boolean isIdle() {
+        return openByStream.isEmpty() && queuedArrivals.get() == 0;
     }
 }
--- a/instance/src/main/java/vetchrill/transport/Connection.java
+++ b/instance/src/main/java/vetchrill/transport/Connection.java
@@ -14,56 +14,57 @@
  */
 public final class Connection {
     /** Who takes what is read. Called on the reader's thread. */
-    public interface Input {
+    public interface InputHandler {
         /** Takes whole messages from the slice; how many bytes it took, 0 to be called with more, -1 to stop. */
-        int take(byte[] buf, int from, int to);
+        int consume(byte[] buf, int from, int to);
 
         /** Nothing more will be read; {@code gone} where nothing that is sent would arrive any more. */
-        void ended(String why, boolean gone);
+        void inputEnded(String reason, boolean disconnected);
     }
 
     private static final System.Logger LOG = System.getLogger("vetchrill.connection");
-    private static final byte[] END = new byte[0];
-    private static final int FIRST_TOGETHER = 2 << 10;
-    private static final int TOGETHER = 16 << 10;
+    private static final byte[] CLOSE_MARK = new byte[0];
+    private static final int INITIAL_BATCH_BYTES = 2 << 10;
+    private static final int MAX_BATCH_BYTES = 16 << 10;
 
-    private final Pipe pipe;
+    private final DuplexChannel channel;
     private final Limits limits;
-    private final Job.Runner readers;
-    private final Job.Runner writers;
-    private final AtomicLong unsentInAll;
-    private final AtomicInteger unsent = new AtomicInteger();
+    private final IoTask.Executor readers;
+    private final IoTask.Executor writers;
+    private final AtomicLong totalUnsentBytes;
+    private final AtomicInteger unsentBytes = new AtomicInteger();
     /** Messages, or such that are looked at again before they go out. */
-    private final LinkedBlockingQueue<Object> toSend = new LinkedBlockingQueue<>();
-    private final AtomicBoolean writing = new AtomicBoolean();
-    private final AtomicBoolean gone = new AtomicBoolean();
-    private final Runnable closed;
+    private final LinkedBlockingQueue<Object> sendQueue = new LinkedBlockingQueue<>();
+    private final AtomicBoolean writerActive = new AtomicBoolean();
+    private final AtomicBoolean aborted = new AtomicBoolean();
+    private final Runnable onClosed;
     /** The closing mark was given: what is given after it is not written. */
-    private final AtomicBoolean closing = new AtomicBoolean();
+    private final AtomicBoolean closeRequested = new AtomicBoolean();
     /** All up to the closing mark is written, and the peer sees the end. */
     private volatile boolean halfClosed;
     /** The peer's end was read, or the connection failed: nothing can lie unread any more. */
     private volatile boolean inputEnded;
     /** The reader gave up on what the peer sends, of which any amount may lie unread. */
-    private volatile boolean inputGivenUp;
-    private final AtomicBoolean discarding = new AtomicBoolean();
+    private volatile boolean inputAbandoned;
+    private final AtomicBoolean discardStarted = new AtomicBoolean();
     /** A part of a message has come, and the rest has not. */
-    private volatile boolean partial;
+    private volatile boolean partialMessage;
 
     /** {@code unsentInAll} counts for all connections together; {@code closed} is called once, on any thread. */
-    public Connection(Pipe pipe, Limits limits, Job.Runner readers, Job.Runner writers, AtomicLong unsentInAll,
-            Runnable closed) {
-        this.pipe = pipe;
+    public Connection(DuplexChannel channel, Limits limits, IoTask.Executor readers, IoTask.Executor writers,
+            AtomicLong totalUnsentBytes,
+            Runnable onClosed) {
+        this.channel = channel;
         this.limits = limits;
         this.readers = readers;
         this.writers = writers;
-        this.unsentInAll = unsentInAll;
-        this.closed = closed;
+        this.totalUnsentBytes = totalUnsentBytes;
+        this.onClosed = onClosed;
     }
 
     /** Starts reading. */
-    public void start(Input input, int longestMessage) {
-        readers.give(new Reading(input, longestMessage));
+    public void start(InputHandler handler, int maxMessageBytes) {
+        readers.execute(new ReadTask(handler, maxMessageBytes));
     }
 
     /** Never waits. What waits for a peer that does not read is bounded: past it the connection is given up. */
@@ -75,40 +76,41 @@
      * The same for one that must not go out once {@code still} no longer holds: that is asked at the last moment, on
      * the writer's thread, since this process may have stood still after it was given; {@code dropped} is run instead.
      */
-    public void send(byte[] message, BooleanSupplier still, Runnable dropped) {
-        send(new Guarded(message, still, dropped), message.length);
+    public void send(byte[] message, BooleanSupplier stillValid, Runnable onDropped) {
+        send(new ConditionalMessage(message, stillValid, onDropped), message.length);
     }
 
     private void send(Object message, int size) {
-        if (gone.get() || closing.get()) {
+        if (aborted.get() || closeRequested.get()) {
             return;
         }
-        int mine = unsent.addAndGet(size);
-        long all = unsentInAll.addAndGet(size);
+        int ownUnsent = unsentBytes.addAndGet(size);
+        long totalUnsent = totalUnsentBytes.addAndGet(size);
         // The sum guards the heap against many slow peers at once; one that owes little is not made to pay for it.
-        if (mine > limits.unsentPerConnection || all > limits.unsentInAll && mine > limits.frame) {
+        if (ownUnsent > limits.maxUnsentPerConnectionBytes || totalUnsent > limits.maxTotalUnsentBytes
+                && ownUnsent > limits.maxBufferedFrameBytes) {
             abort();
         }
-        if (gone.get()) {
-            sent(size);
+        if (aborted.get()) {
+            deductUnsent(size);
         } else {
-            give(message);
+            enqueue(message);
         }
     }
 
-    private record Guarded(byte[] message, BooleanSupplier still, Runnable dropped) {
+    private record ConditionalMessage(byte[] message, BooleanSupplier stillValid, Runnable onDropped) {
     }
 
     /** Counted once, whichever of the writer and an abort beside it comes first. */
-    private void sent(int bytes) {
-        int before = unsent.getAndUpdate(all -> Math.max(0, all - bytes));
-        unsentInAll.addAndGet(-Math.min(before, bytes));
+    private void deductUnsent(int bytes) {
+        int before = unsentBytes.getAndUpdate(current -> Math.max(0, current - bytes));
+        totalUnsentBytes.addAndGet(-Math.min(before, bytes));
     }
 
-    private void give(Object message) {
-        toSend.add(message);
-        if (!writing.getAndSet(true)) {
-            writers.give(new Writing());
+    private void enqueue(Object message) {
+        sendQueue.add(message);
+        if (!writerActive.getAndSet(true)) {
+            writers.execute(new WriteTask());
         }
     }
 
@@ -118,8 +120,8 @@
      * answers that the kernel still holds. How long that may last is up to the owner, who ends it by {@link #abort}.
      */
     public void close() {
-        if (!closing.getAndSet(true) && !gone.get()) {
-            give(END);
+        if (!closeRequested.getAndSet(true) && !aborted.get()) {
+            enqueue(CLOSE_MARK);
         }
     }
 
@@ -130,15 +132,15 @@
             abort();
             return;
         }
-        pipe.shutdownOutput();
-        if (inputGivenUp) {
-            discard();
+        channel.shutdownOutput();
+        if (inputAbandoned) {
+            startDiscarding();
         }
     }
 
-    private void discard() {
-        if (!discarding.getAndSet(true)) {
-            readers.give(new Discarding());
+    private void startDiscarding() {
+        if (!discardStarted.getAndSet(true)) {
+            readers.execute(new DiscardTask());
         }
     }
 
@@ -148,80 +150,80 @@
     }
 
     public boolean isClosed() {
-        return gone.get();
+        return aborted.get();
     }
 
     /** Whether a message has begun to come that is not whole, or bytes wait that the reader has not taken yet. */
     public boolean isReceiving() {
-        return partial || !gone.get() && !inputEnded && !inputGivenUp && pipe.hasUnread();
+        return partialMessage || !aborted.get() && !inputEnded && !inputAbandoned && channel.hasUnread();
     }
 
     /** Closes at once; reader and writer end. */
     public void abort() {
-        if (!gone.getAndSet(true)) {
-            pipe.close();
-            toSend.clear();
-            sent(Integer.MAX_VALUE);
-            closed.run();
+        if (!aborted.getAndSet(true)) {
+            channel.close();
+            sendQueue.clear();
+            deductUnsent(Integer.MAX_VALUE);
+            onClosed.run();
         }
     }
 
     /** One step writes all that waits. */
-    private final class Writing implements Job {
+    private final class WriteTask implements IoTask {
         /** Made where there is something to join: most answers go out alone. */
-        private byte[] together = END;
+        private byte[] batch = CLOSE_MARK;
 
         @Override
-        public Pipe pipe() {
-            return pipe;
+        public DuplexChannel channel() {
+            return channel;
         }
 
         @Override
         public boolean step() {
             try {
-                Object next = toSend.poll();
-                int filled = 0;
-                int left = 0;
+                Object next = sendQueue.poll();
+                int batchedBytes = 0;
+                int writtenBytes = 0;
                 // What waits already goes out in one write, for each write costs a switch on a shared core.
-                while (next != null && next != END) {
-                    Object after = toSend.poll();
-                    if (next instanceof Guarded guarded) {
-                        write(together, filled);
-                        filled = 0;
-                        left += guarded.message.length;
-                        if (guarded.still.getAsBoolean()) {
-                            write(guarded.message, guarded.message.length);
+                while (next != null && next != CLOSE_MARK) {
+                    Object following = sendQueue.poll();
+                    if (next instanceof ConditionalMessage conditional) {
+                        write(batch, batchedBytes);
+                        batchedBytes = 0;
+                        writtenBytes += conditional.message.length;
+                        if (conditional.stillValid.getAsBoolean()) {
+                            write(conditional.message, conditional.message.length);
                         } else {
-                            guarded.dropped.run();
+                            conditional.onDropped.run();
                         }
-                        next = after;
+                        next = following;
                         continue;
                     }
                     byte[] message = (byte[]) next;
-                    boolean alone = filled == 0 && (after == null || after == END);
-                    if (alone || filled + message.length > TOGETHER) {
-                        write(together, filled);
+                    boolean writeDirectly = batchedBytes == 0 && (following == null || following == CLOSE_MARK);
+                    if (writeDirectly || batchedBytes + message.length > MAX_BATCH_BYTES) {
+                        write(batch, batchedBytes);
                         write(message, message.length);
-                        filled = 0;
+                        batchedBytes = 0;
                     } else {
-                        if (filled + message.length > together.length) {
-                            together = Arrays.copyOf(together, Math.max(FIRST_TOGETHER, filled + message.length));
+                        if (batchedBytes + message.length > batch.length) {
+                            batch = Arrays.copyOf(batch, Math.max(INITIAL_BATCH_BYTES, batchedBytes + message.length));
                         }
-                        System.arraycopy(message, 0, together, filled, message.length);
-                        filled += message.length;
+                        System.arraycopy(message, 0, batch, batchedBytes, message.length);
+                        batchedBytes += message.length;
                     }
-                    left += message.length;
-                    next = after;
+                    writtenBytes += message.length;
+                    next = following;
                 }
-                write(together, filled);
-                sent(left);
-                if (next == END) {
+                write(batch, batchedBytes);
+                deductUnsent(writtenBytes);
+                if (next == CLOSE_MARK) {
                     // The mark of a writer at work stays: nothing is written any more.
                     halfClose();
                     return false;
                 }
-                writing.set(false);
-                return !toSend.isEmpty() && !writing.getAndSet(true);
+                writerActive.set(false);
+                return !sendQueue.isEmpty() && !writerActive.getAndSet(true);
             } catch (IOException e) {
                 // The reader meets the same end and tells of it.
                 abort();
@@ -235,55 +237,55 @@
 
     private void write(byte[] bytes, int size) throws IOException {
         if (size > 0) {
-            pipe.write(bytes, 0, size);
+            channel.write(bytes, 0, size);
         }
     }
 
     /** One step reads once, and takes what that made whole. */
-    private final class Reading implements Job {
-        private final Input input;
-        private final int longestMessage;
+    private final class ReadTask implements IoTask {
+        private final InputHandler handler;
+        private final int maxMessageBytes;
         private byte[] buf;
         private int from;
         private int to;
-        private long dropped;
+        private long droppedBytes;
 
-        Reading(Input input, int longestMessage) {
-            this.input = input;
-            this.longestMessage = longestMessage;
+        ReadTask(InputHandler handler, int maxMessageBytes) {
+            this.handler = handler;
+            this.maxMessageBytes = maxMessageBytes;
         }
 
         @Override
-        public Pipe pipe() {
-            return pipe;
+        public DuplexChannel channel() {
+            return channel;
         }
 
         @Override
         public boolean step() {
-            String why;
-            boolean lost = false;
+            String endReason;
+            boolean disconnected = false;
             try {
-                why = read();
-                if (why == null) {
-                    partial = to > from;
+                endReason = read();
+                if (endReason == null) {
+                    partialMessage = to > from;
                     return true;
                 }
             } catch (IOException e) {
-                why = String.valueOf(e.getMessage());
-                lost = true;
+                endReason = String.valueOf(e.getMessage());
+                disconnected = true;
                 inputEnded = true;
             } catch (RuntimeException | OutOfMemoryError e) {
                 // Nothing that one peer sends may cost more than its own connection.
                 LOG.log(System.Logger.Level.ERROR, "reading a connection failed", e);
-                why = "failed";
+                endReason = "failed";
             }
-            partial = false;
-            inputGivenUp = !inputEnded;
-            input.ended(why, lost);
+            partialMessage = false;
+            inputAbandoned = !inputEnded;
+            handler.inputEnded(endReason, disconnected);
             if (halfClosed && inputEnded) {
                 abort();
             } else if (halfClosed) {
-                discard();
+                startDiscarding();
             }
             return false;
         }
@@ -291,21 +293,21 @@
         /** Null where more may come, else why the reading ends. */
         private String read() throws IOException {
             if (buf == null) {
-                buf = new byte[limits.firstBuffer];
+                buf = new byte[limits.initialBufferBytes];
             }
             if (to == buf.length) {
                 if (from > 0) {
                     System.arraycopy(buf, from, buf, 0, to - from);
-                } else if (buf.length >= longestMessage) {
-                    return "a message longer than " + longestMessage + " bytes";
+                } else if (buf.length >= maxMessageBytes) {
+                    return "a message longer than " + maxMessageBytes + " bytes";
                 } else {
-                    buf = Arrays.copyOf(buf, Math.min(longestMessage, 2 * buf.length));
+                    buf = Arrays.copyOf(buf, Math.min(maxMessageBytes, 2 * buf.length));
                 }
                 to -= from;
                 from = 0;
             }
-            int got = pipe.read(buf, to, buf.length - to);
-            if (got < 0) {
+            int readBytes = channel.read(buf, to, buf.length - to);
+            if (readBytes < 0) {
                 inputEnded = true;
                 return "closed by the peer";
             }
@@ -313,19 +315,19 @@
                 // It can't be answered any more, and its stub sends it elsewhere: to run it here is once too often.
                 from = 0;
                 to = 0;
-                dropped += got;
-                return dropped > limits.lingerBytes ? "more after the end than is read past" : null;
+                droppedBytes += readBytes;
+                return droppedBytes > limits.maxLingerBytes ? "more after the end than is read past" : null;
             }
-            to += got;
+            to += readBytes;
             while (from < to) {
-                int took = input.take(buf, from, to);
-                if (took < 0) {
+                int consumedBytes = handler.consume(buf, from, to);
+                if (consumedBytes < 0) {
                     return "input that can't be read";
                 }
-                if (took == 0) {
+                if (consumedBytes == 0) {
                     break;
                 }
-                from += took;
+                from += consumedBytes;
             }
             if (from == to) {
                 from = 0;
@@ -336,21 +338,21 @@
     }
 
     /** Reads past what a peer sends that was given up on, until its end: one read a step, so much in all. */
-    private final class Discarding implements Job {
-        private final byte[] buf = new byte[limits.frame];
-        private long dropped;
+    private final class DiscardTask implements IoTask {
+        private final byte[] buf = new byte[limits.maxBufferedFrameBytes];
+        private long droppedBytes;
 
         @Override
-        public Pipe pipe() {
-            return pipe;
+        public DuplexChannel channel() {
+            return channel;
         }
 
         @Override
         public boolean step() {
             try {
-                int got = pipe.read(buf, 0, buf.length);
-                dropped += got;
-                if (got >= 0 && dropped <= limits.lingerBytes) {
+                int readBytes = channel.read(buf, 0, buf.length);
+                droppedBytes += readBytes;
+                if (readBytes >= 0 && droppedBytes <= limits.maxLingerBytes) {
                     return true;
                 }
             } catch (IOException e) {
--- a/instance/src/main/java/vetchrill/transport/Pipe.java
+++ b/instance/src/main/java/vetchrill/transport/DuplexChannel.java
@@ -8,7 +8,7 @@
 /**
  * Bytes both ways, as a blocking socket gives them; whoever simulates the chain puts streams in memory in its place.
  */
-public interface Pipe {
+public interface DuplexChannel {
     /** Waits for at least one byte; how many were read, -1 at the end. */
     int read(byte[] buf, int from, int size) throws IOException;
 
@@ -25,11 +25,11 @@
     /** Ends both ways; whoever reads or writes is released. Never fails. */
     void close();
 
-    static Pipe of(Socket socket) throws IOException {
+    static DuplexChannel of(Socket socket) throws IOException {
         socket.setTcpNoDelay(true);
         InputStream in = socket.getInputStream();
         OutputStream out = socket.getOutputStream();
-        return new Pipe() {
+        return new DuplexChannel() {
             @Override
             public int read(byte[] buf, int from, int size) throws IOException {
                 return in.read(buf, from, size);
@@ -60,7 +60,7 @@
 
             @Override
             public void close() {
-                Resources.close(socket);
+                Resources.closeQuietly(socket);
             }
         };
     }
--- a/instance/src/main/java/vetchrill/transport/InterpreterLink.java
+++ b/instance/src/main/java/vetchrill/transport/InterpreterLink.java
@@ -13,17 +13,17 @@
  */
 public final class InterpreterLink {
     /** How an address is reached. */
-    public interface Dial {
+    public interface Dialer {
         /** Tries for {@code wait} at most, in tenths of a millisecond. */
-        Pipe to(InetSocketAddress address, long wait) throws IOException;
+        DuplexChannel dial(InetSocketAddress address, long timeoutTenthsMs) throws IOException;
 
         /** As it is on this machine's network. */
-        static Pipe onSocket(InetSocketAddress address, long wait) throws IOException {
+        static DuplexChannel dialSocket(InetSocketAddress address, long timeoutTenthsMs) throws IOException {
             Socket socket = new Socket();
             try {
                 // A peer whose backlog is full for a moment hears of the same try again only after a second.
-                socket.connect(address, (int) (wait / 10));
-                return Pipe.of(socket);
+                socket.connect(address, (int) (timeoutTenthsMs / 10));
+                return DuplexChannel.of(socket);
             } catch (IOException e) {
                 socket.close();
                 throw e;
@@ -34,54 +34,55 @@
     private static final System.Logger LOG = System.getLogger("vetchrill.link");
 
     private final Limits limits;
-    private final Dial dial;
-    private final Job.Runner readers;
-    private final Job.Runner writers;
-    private final Function<Connection, Connection.Input> opened;
+    private final Dialer dialer;
+    private final IoTask.Executor readers;
+    private final IoTask.Executor writers;
+    private final Function<Connection, Connection.InputHandler> onOpened;
     private volatile InetSocketAddress address;
     /** Counted down when the connection of now is lost or no longer the one to keep. */
-    private volatile CountDownLatch over = new CountDownLatch(0);
-    private InetSocketAddress openTo;
-    private long pause;
-    private long wait;
-    private boolean told;
+    private volatile CountDownLatch reconnectNeeded = new CountDownLatch(0);
+    private InetSocketAddress connectedAddress;
+    private long retryPause;
+    private long connectTimeout;
+    private boolean failureLogged;
 
     /** {@code opened} is called with each new connection before anything is read from it. */
-    public InterpreterLink(InetSocketAddress address, Limits limits, Dial dial, Job.Runner readers, Job.Runner writers,
-            Function<Connection, Connection.Input> opened) {
+    public InterpreterLink(InetSocketAddress address, Limits limits, Dialer dialer, IoTask.Executor readers,
+            IoTask.Executor writers,
+            Function<Connection, Connection.InputHandler> onOpened) {
         this.address = address;
         this.limits = limits;
-        this.dial = dial;
+        this.dialer = dialer;
         this.readers = readers;
         this.writers = writers;
-        this.opened = opened;
-        wait = limits.firstConnect;
+        this.onOpened = onOpened;
+        connectTimeout = limits.initialConnectTimeoutTenthsMs;
     }
 
     public void start() {
-        Resources.daemon("link", this::keep, limits.threadStack).start();
+        Resources.newDaemonThread("link", this::maintain, limits.threadStackBytes).start();
     }
 
     /**
      * From now on the link is kept to another address. What there is to the old one is used until the new one is
      * open, and whoever took it closes it then: so no moment passes without a link.
      */
-    public void move(InetSocketAddress to) {
-        address = to;
-        over.countDown();
+    public void move(InetSocketAddress newAddress) {
+        address = newAddress;
+        reconnectNeeded.countDown();
     }
 
-    private void keep() {
+    private void maintain() {
         while (true) {
             try {
-                long pausing = pauseBefore();
-                if (pausing > 0) {
-                    Thread.sleep(pausing / 10);
+                long currentPause = nextRetryPause();
+                if (currentPause > 0) {
+                    Thread.sleep(currentPause / 10);
                 }
-                if (attempt()) {
-                    long since = System.nanoTime();
-                    over.await();
-                    ended((System.nanoTime() - since) / 100_000);
+                if (attemptConnect()) {
+                    long openedNanos = System.nanoTime();
+                    reconnectNeeded.await();
+                    connectionEnded((System.nanoTime() - openedNanos) / 100_000);
                 }
             } catch (InterruptedException e) {
                 return;
@@ -90,60 +91,61 @@
     }
 
     /** How long to wait before the next try; a connection that was up for no time at all counts as a failed one. */
-    public long pauseBefore() {
-        long pausing = pause;
-        pause = Math.min(limits.longestPause, Math.max(limits.firstPause, 2 * pause));
-        return pausing;
+    public long nextRetryPause() {
+        long currentPause = retryPause;
+        retryPause = Math.min(limits.maxRetryPauseTenthsMs, Math.max(limits.initialRetryPauseTenthsMs, 2 * retryPause));
+        return currentPause;
     }
 
-    /** One try; whether a connection was opened, which is to be kept until {@link #isOver}. */
-    public boolean attempt() {
-        InetSocketAddress to = address;
-        CountDownLatch lost = new CountDownLatch(1);
-        over = lost;
-        openTo = to;
+    /** One try; whether a connection was opened, which is to be kept until {@link #isReconnectNeeded}. */
+    public boolean attemptConnect() {
+        InetSocketAddress target = address;
+        CountDownLatch connectionOver = new CountDownLatch(1);
+        reconnectNeeded = connectionOver;
+        connectedAddress = target;
         try {
-            Connection connection = new Connection(dial.to(to, wait), limits, readers, writers, new AtomicLong(),
+            Connection connection = new Connection(dialer.dial(target, connectTimeout), limits, readers, writers,
+                    new AtomicLong(),
                     () -> { });
-            wait = limits.firstConnect;
-            Connection.Input input = opened.apply(connection);
-            connection.start(new Connection.Input() {
+            connectTimeout = limits.initialConnectTimeoutTenthsMs;
+            Connection.InputHandler handler = onOpened.apply(connection);
+            connection.start(new Connection.InputHandler() {
                 @Override
-                public int take(byte[] buf, int from, int to) {
-                    return input.take(buf, from, to);
+                public int consume(byte[] buf, int from, int target) {
+                    return handler.consume(buf, from, target);
                 }
 
                 @Override
-                public void ended(String why, boolean gone) {
+                public void inputEnded(String why, boolean gone) {
                     connection.abort();
-                    input.ended(why, gone);
-                    lost.countDown();
+                    handler.inputEnded(why, gone);
+                    connectionOver.countDown();
                 }
-            }, limits.line);
-            told = false;
-            if (to != address) {
-                lost.countDown();
+            }, limits.maxLineBytes);
+            failureLogged = false;
+            if (target != address) {
+                connectionOver.countDown();
             }
             return true;
         } catch (IOException e) {
-            wait = Math.min(limits.connectWait, 2 * wait);
-            if (!told) {
+            connectTimeout = Math.min(limits.maxConnectTimeoutTenthsMs, 2 * connectTimeout);
+            if (!failureLogged) {
                 LOG.log(System.Logger.Level.WARNING, "no link to the interpreter yet: {0}", e.getMessage());
             }
-            told = true;
+            failureLogged = true;
             return false;
         }
     }
 
     /** Whether the connection of now is lost or no longer the one to keep. */
-    public boolean isOver() {
-        return over.getCount() == 0;
+    public boolean isReconnectNeeded() {
+        return reconnectNeeded.getCount() == 0;
     }
 
     /** The connection of now is over after so long; the next try is made at once if it was worth something. */
-    public void ended(long upFor) {
-        if (openTo != address || upFor > limits.longestPause) {
-            pause = 0;
+    public void connectionEnded(long uptime) {
+        if (connectedAddress != address || uptime > limits.maxRetryPauseTenthsMs) {
+            retryPause = 0;
         }
     }
 }
--- a/instance/src/main/java/vetchrill/transport/Listener.java
+++ b/instance/src/main/java/vetchrill/transport/Listener.java
@@ -17,9 +17,9 @@
     private final ServerSocket socket;
     private final Limits limits;
     private final Thread thread;
-    private volatile boolean closing;
+    private volatile boolean closeRequested;
 
-    public Listener(InetSocketAddress address, Limits limits, Consumer<Pipe> taken) throws IOException {
+    public Listener(InetSocketAddress address, Limits limits, Consumer<DuplexChannel> onAccepted) throws IOException {
         this.limits = limits;
         socket = new ServerSocket();
         try {
@@ -27,10 +27,10 @@
             socket.setReuseAddress(true);
             socket.bind(address, limits.backlog);
         } catch (IOException e) {
-            Resources.close(socket);
+            Resources.closeQuietly(socket);
             throw e;
         }
-        thread = Resources.daemon("listener", () -> accept(taken), limits.threadStack);
+        thread = Resources.newDaemonThread("listener", () -> acceptLoop(onAccepted), limits.threadStackBytes);
     }
 
     public void start() {
@@ -39,47 +39,47 @@
 
     /** Accepts what waits by now, then closes; waits for that, though no longer than is left for it. */
     public void close() {
-        closing = true;
+        closeRequested = true;
         try {
-            thread.join(limits.backlogWait / 10);
+            thread.join(limits.backlogDrainTimeoutTenthsMs / 10);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void accept(Consumer<Pipe> taken) {
-        boolean failing = false;
-        long closeBy = Long.MAX_VALUE;
+    private void acceptLoop(Consumer<DuplexChannel> onAccepted) {
+        boolean failureLogged = false;
+        long closeDeadlineNanos = Long.MAX_VALUE;
         while (true) {
-            if (closing && closeBy == Long.MAX_VALUE) {
-                closeBy = System.nanoTime() + limits.backlogWait * 100_000;
+            if (closeRequested && closeDeadlineNanos == Long.MAX_VALUE) {
+                closeDeadlineNanos = System.nanoTime() + limits.backlogDrainTimeoutTenthsMs * 100_000;
             }
             try {
-                if (closeBy != Long.MAX_VALUE && System.nanoTime() - closeBy >= 0) {
+                if (closeDeadlineNanos != Long.MAX_VALUE && System.nanoTime() - closeDeadlineNanos >= 0) {
                     break;
                 }
-                socket.setSoTimeout(closing ? 1 : (int) (limits.acceptWait / 10));
+                socket.setSoTimeout(closeRequested ? 1 : (int) (limits.acceptPollTenthsMs / 10));
                 Socket accepted = socket.accept();
                 try {
-                    taken.accept(Pipe.of(accepted));
+                    onAccepted.accept(DuplexChannel.of(accepted));
                 } catch (IOException e) {
                     // Gone before it was anything; the next one is not kept waiting for it.
-                    Resources.close(accepted);
+                    Resources.closeQuietly(accepted);
                 }
-                failing = false;
+                failureLogged = false;
             } catch (SocketTimeoutException e) {
-                if (closeBy != Long.MAX_VALUE) {
+                if (closeDeadlineNanos != Long.MAX_VALUE) {
                     break;
                 }
             } catch (IOException | OutOfMemoryError e) {
                 // Out of descriptors or threads: what waits in the backlog may be taken when some are free again.
-                if (!failing) {
+                if (!failureLogged) {
                     LOG.log(System.Logger.Level.WARNING, "can''t accept: {0}", e.getMessage());
                 }
-                failing = true;
-                Resources.pause(500);
+                failureLogged = true;
+                Resources.sleep(500);
             }
         }
-        Resources.close(socket);
+        Resources.closeQuietly(socket);
     }
 }
--- a/instance/src/main/java/vetchrill/transport/Resources.java
+++ b/instance/src/main/java/vetchrill/transport/Resources.java
@@ -9,25 +9,25 @@
     }
 
     /** A thread that keeps no process alive; not started yet. */
-    public static Thread daemon(String name, Runnable work, long stack) {
-        Thread thread = new Thread(null, work, name, stack);
+    public static Thread newDaemonThread(String name, Runnable work, long stackBytes) {
+        Thread thread = new Thread(null, work, name, stackBytes);
         thread.setDaemon(true);
         return thread;
     }
 
     /** For a thread that has nothing else to do, in tenths of a millisecond. */
-    public static void pause(long span) {
+    public static void sleep(long durationTenthsMs) {
         try {
-            Thread.sleep(span / 10);
+            Thread.sleep(durationTenthsMs / 10);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     /** For what is given up either way, whatever closing it meets. */
-    public static void close(Closeable given) {
+    public static void closeQuietly(Closeable resource) {
         try {
-            given.close();
+            resource.close();
         } catch (IOException e) {
             // Closing was all that was wanted.
         }
--- a/instance/src/main/java/vetchrill/wire/LineParser.java
+++ b/instance/src/main/java/vetchrill/wire/LineParser.java
@@ -7,17 +7,17 @@
 /** Reads one line at a time and walks over its fields in place, so that a line costs no garbage. */
 final class LineParser {
     private final InputStream in;
-    private byte[] buf = new byte[1 << 16];
+    private byte[] buffer = new byte[1 << 16];
     private int filled;
     private int lineStart;
     private int lineEnd;
-    private int pos;
+    private int position;
     private int nameEnd;
     private int keyStart;
     private int keyEnd;
     private int valueStart;
     private int valueEnd;
-    private long number;
+    private long lineNumber;
 
     LineParser(InputStream in) {
         this.in = in;
@@ -25,91 +25,91 @@
 
     /** Goes to the next line; false at the end of the input. */
     boolean nextLine() throws IOException {
-        int start = number == 0 ? 0 : lineEnd + 1;
-        int at = start;
+        int start = lineNumber == 0 ? 0 : lineEnd + 1;
+        int index = start;
         while (true) {
-            while (at < filled && buf[at] != '\n') {
-                at++;
+            while (index < filled && buffer[index] != '\n') {
+                index++;
             }
-            if (at < filled) {
+            if (index < filled) {
                 break;
             }
-            int kept = filled - start;
-            if (start > 0 && kept >= 0) {
-                System.arraycopy(buf, start, buf, 0, kept);
+            int unparsed = filled - start;
+            if (start > 0 && unparsed >= 0) {
+                System.arraycopy(buffer, start, buffer, 0, unparsed);
             }
-            filled = kept;
-            at = kept;
+            filled = unparsed;
+            index = unparsed;
             start = 0;
-            if (filled == buf.length) {
-                buf = java.util.Arrays.copyOf(buf, buf.length * 2);
+            if (filled == buffer.length) {
+                buffer = java.util.Arrays.copyOf(buffer, buffer.length * 2);
             }
-            int got = in.read(buf, filled, buf.length - filled);
-            if (got < 0) {
+            int bytesRead = in.read(buffer, filled, buffer.length - filled);
+            if (bytesRead < 0) {
                 if (filled == 0) {
                     return false;
                 }
-                number++;
-                throw fault("the input ends in the middle of a line");
+                lineNumber++;
+                throw error("the input ends in the middle of a line");
             }
-            filled += got;
+            filled += bytesRead;
         }
-        number++;
+        lineNumber++;
         lineStart = start;
-        lineEnd = at;
-        pos = start;
-        while (pos < lineEnd && buf[pos] != ' ') {
-            pos++;
+        lineEnd = index;
+        position = start;
+        while (position < lineEnd && buffer[position] != ' ') {
+            position++;
         }
-        nameEnd = pos;
+        nameEnd = position;
         return true;
     }
 
-    WireFault fault(String reason) {
-        return new WireFault(number, reason);
+    WireFormatException error(String reason) {
+        return new WireFormatException(lineNumber, reason);
     }
 
     String name() {
-        return new String(buf, lineStart, nameEnd - lineStart, StandardCharsets.UTF_8);
+        return new String(buffer, lineStart, nameEnd - lineStart, StandardCharsets.UTF_8);
     }
 
     boolean nextField() {
-        if (pos >= lineEnd) {
+        if (position >= lineEnd) {
             return false;
         }
-        keyStart = pos + 1;
-        int at = keyStart;
-        while (at < lineEnd && buf[at] != '=' && buf[at] != ' ') {
-            at++;
+        keyStart = position + 1;
+        int index = keyStart;
+        while (index < lineEnd && buffer[index] != '=' && buffer[index] != ' ') {
+            index++;
         }
-        if (at >= lineEnd || buf[at] != '=' || at == keyStart) {
-            throw fault("a field without name=value in '" + name() + "'");
+        if (index >= lineEnd || buffer[index] != '=' || index == keyStart) {
+            throw error("a field without name=value in '" + name() + "'");
         }
-        keyEnd = at;
-        valueStart = at + 1;
-        at = valueStart;
-        while (at < lineEnd && buf[at] != ' ') {
-            at++;
+        keyEnd = index;
+        valueStart = index + 1;
+        index = valueStart;
+        while (index < lineEnd && buffer[index] != ' ') {
+            index++;
         }
-        valueEnd = at;
-        pos = at;
+        valueEnd = index;
+        position = index;
         return true;
     }
 
     boolean keyIs(String key) {
-        return same(keyStart, keyEnd, key);
+        return matches(keyStart, keyEnd, key);
     }
 
     boolean valueIs(String value) {
-        return same(valueStart, valueEnd, value);
+        return matches(valueStart, valueEnd, value);
     }
 
-    private boolean same(int from, int to, String text) {
+    private boolean matches(int from, int to, String text) {
         if (to - from != text.length()) {
             return false;
         }
         for (int i = 0; i < text.length(); i++) {
-            if (buf[from + i] != text.charAt(i)) {
+            if (buffer[from + i] != text.charAt(i)) {
                 return false;
             }
         }
@@ -117,33 +117,33 @@
     }
 
     String text() {
-        return new String(buf, valueStart, valueEnd - valueStart, StandardCharsets.UTF_8);
+        return new String(buffer, valueStart, valueEnd - valueStart, StandardCharsets.UTF_8);
     }
 
     /** The value up to the end of the line. */
     String restOfLine() {
         valueEnd = lineEnd;
-        pos = lineEnd;
+        position = lineEnd;
         return text();
     }
 
-    WireFault badValue(String wanted) {
-        String key = new String(buf, keyStart, keyEnd - keyStart, StandardCharsets.UTF_8);
-        return fault("'" + key + "' of '" + name() + "' should be " + wanted + ", not '" + text() + "'");
+    WireFormatException badValue(String expected) {
+        String key = new String(buffer, keyStart, keyEnd - keyStart, StandardCharsets.UTF_8);
+        return error("'" + key + "' of '" + name() + "' should be " + expected + ", not '" + text() + "'");
     }
 
-    long whole() {
-        int at = valueStart;
-        boolean negative = at < valueEnd && buf[at] == '-';
+    long wholeNumber() {
+        int index = valueStart;
+        boolean negative = index < valueEnd && buffer[index] == '-';
         if (negative) {
-            at++;
+            index++;
         }
-        if (at == valueEnd) {
+        if (index == valueEnd) {
             throw badValue("a whole number");
         }
         long value = 0;
-        for (; at < valueEnd; at++) {
-            int digit = buf[at] - '0';
+        for (; index < valueEnd; index++) {
+            int digit = buffer[index] - '0';
             if (digit < 0 || digit > 9 || value > (Long.MAX_VALUE - digit) / 10) {
                 throw badValue("a whole number");
             }
@@ -157,54 +157,54 @@
     }
 
     /** The value's parts between commas, as far as there are any; returns how many. */
-    int row(double[] into) {
-        int n = 0;
+    int numberList(double[] into) {
+        int count = 0;
         int from = valueStart;
         while (from <= valueEnd && valueEnd > valueStart) {
             int to = from;
-            while (to < valueEnd && buf[to] != ',') {
+            while (to < valueEnd && buffer[to] != ',') {
                 to++;
             }
-            if (n < into.length) {
-                into[n++] = number(from, to);
+            if (count < into.length) {
+                into[count++] = number(from, to);
             }
             from = to + 1;
         }
-        return n;
+        return count;
     }
 
     private double number(int from, int to) {
-        int at = from;
-        boolean negative = at < to && buf[at] == '-';
+        int index = from;
+        boolean negative = index < to && buffer[index] == '-';
         if (negative) {
-            at++;
+            index++;
         }
         long digits = 0;
         long scale = 1;
-        boolean point = false;
-        boolean any = false;
-        for (; at < to; at++) {
-            byte c = buf[at];
-            if (c == '.' && !point) {
-                point = true;
+        boolean pointSeen = false;
+        boolean digitSeen = false;
+        for (; index < to; index++) {
+            byte c = buffer[index];
+            if (c == '.' && !pointSeen) {
+                pointSeen = true;
             } else if (c >= '0' && c <= '9' && digits < 100_000_000_000_000_000L) {
                 digits = digits * 10 + c - '0';
-                scale = point ? scale * 10 : scale;
-                any = true;
+                scale = pointSeen ? scale * 10 : scale;
+                digitSeen = true;
             } else {
-                return unusualNumber(from, to);
+                return parseUnusualNumber(from, to);
             }
         }
-        if (!any) {
+        if (!digitSeen) {
             throw badValue("a number");
         }
         double value = (double) digits / scale;
         return negative ? -value : value;
     }
 
-    private double unusualNumber(int from, int to) {
+    private double parseUnusualNumber(int from, int to) {
         try {
-            double value = Double.parseDouble(new String(buf, from, to - from, StandardCharsets.UTF_8));
+            double value = Double.parseDouble(new String(buffer, from, to - from, StandardCharsets.UTF_8));
             if (Double.isFinite(value)) {
                 return value;
             }
@@ -215,7 +215,7 @@
     }
 
     /** Milliseconds as whole tenths, cut, so that nothing seems later than it is. */
-    long tenths() {
+    long tenthsOfMs() {
         return (long) Math.floor(number() * 10 + 1e-6);
     }
 }
--- a/instance/src/main/java/vetchrill/wire/WireFault.java
+++ b/instance/src/main/java/vetchrill/wire/WireFormatException.java
@@ -1,10 +1,10 @@
 package vetchrill.wire;
 
 /** Input that the wire does not allow; the message names the line and the reason. */
-public final class WireFault extends RuntimeException {
+public final class WireFormatException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    WireFault(long line, String reason) {
+    WireFormatException(long line, String reason) {
         super("line " + line + ": " + reason);
     }
 }
--- a/instance/src/main/java/vetchrill/wire/WireHost.java
+++ b/instance/src/main/java/vetchrill/wire/WireHost.java
@@ -15,11 +15,11 @@
     private final LineParser line;
     private final OutputStream out;
     private final LineWriter reply = new LineWriter();
-    private final Map<Integer, Door> doors = new TreeMap<>();
-    private final Set<Door> touched = new LinkedHashSet<>();
+    private final Map<Integer, InstanceAdapter> instances = new TreeMap<>();
+    private final Set<InstanceAdapter> instancesToDecide = new LinkedHashSet<>();
     private long now;
-    private long batch;
-    private boolean open;
+    private long batchNumber;
+    private boolean batchOpen;
     private int instance = -1;
 
     public WireHost(InputStream in, OutputStream out) {
@@ -32,182 +32,182 @@
         while (line.nextLine()) {
             String name = line.name();
             if (name.equals("sync")) {
-                sync();
-            } else if (!open) {
-                throw line.fault("'" + name + "' outside of a batch");
+                beginBatch();
+            } else if (!batchOpen) {
+                throw line.error("'" + name + "' outside of a batch");
             } else if (name.equals("commit")) {
-                commit();
+                endBatch();
             } else if (name.equals("at")) {
-                instance = (int) needed("instance");
+                instance = (int) requiredNumber("instance");
             } else if (instance < 0) {
-                throw line.fault("'" + name + "' before any 'at'");
+                throw line.error("'" + name + "' before any 'at'");
             } else if (name.equals("born")) {
-                born();
+                createInstance();
             } else {
-                event(name);
+                handleEvent(name);
             }
         }
-        if (open) {
-            throw line.fault("the input ends in the middle of a batch");
+        if (batchOpen) {
+            throw line.error("the input ends in the middle of a batch");
         }
     }
 
-    private void sync() {
-        if (open) {
-            throw line.fault("'sync' within a batch");
+    private void beginBatch() {
+        if (batchOpen) {
+            throw line.error("'sync' within a batch");
         }
-        boolean timed = false;
-        boolean counted = false;
+        boolean timeGiven = false;
+        boolean numberGiven = false;
         while (line.nextField()) {
             if (line.keyIs("tsMs")) {
-                now = line.tenths();
-                timed = true;
+                now = line.tenthsOfMs();
+                timeGiven = true;
             } else if (line.keyIs("seq")) {
-                batch = line.whole();
-                counted = true;
+                batchNumber = line.wholeNumber();
+                numberGiven = true;
             }
         }
-        if (!timed || !counted) {
-            throw line.fault("'sync' without 'tsMs' and 'seq'");
+        if (!timeGiven || !numberGiven) {
+            throw line.error("'sync' without 'tsMs' and 'seq'");
         }
-        open = true;
+        batchOpen = true;
         instance = -1;
     }
 
-    private void commit() throws IOException {
-        for (Door door : touched) {
+    private void endBatch() throws IOException {
+        for (InstanceAdapter adapter : instancesToDecide) {
             try {
-                door.decide(now);
+                adapter.runDecisions(now);
             } catch (RuntimeException e) {
                 e.printStackTrace();
-                door.die("the controller failed: " + e);
+                adapter.reportFailure("the controller failed: " + e);
             }
         }
-        touched.clear();
-        open = false;
-        reply.line("end").field("seq", batch).endLine();
+        instancesToDecide.clear();
+        batchOpen = false;
+        reply.startLine("end").field("seq", batchNumber).endLine();
         reply.sendTo(out);
     }
 
-    private void born() {
+    private void createInstance() {
         long seed = 0;
-        boolean seeded = false;
+        boolean seedGiven = false;
         String options = null;
         while (line.nextField()) {
             if (line.keyIs("salt")) {
-                seed = line.whole();
-                seeded = true;
+                seed = line.wholeNumber();
+                seedGiven = true;
             } else if (line.keyIs("options")) {
                 options = line.restOfLine();
             }
         }
-        if (!seeded || options == null) {
-            throw line.fault("'born' without 'salt' and 'options'");
+        if (!seedGiven || options == null) {
+            throw line.error("'born' without 'salt' and 'options'");
         }
-        DeploymentReader facts;
+        DeploymentReader deploymentReader;
         try {
-            facts = new DeploymentReader(options);
+            deploymentReader = new DeploymentReader(options);
         } catch (IllegalArgumentException e) {
-            throw line.fault(e.getMessage());
+            throw line.error(e.getMessage());
         }
-        Door door = new Door(instance, reply, facts, seed, now);
-        touched.remove(doors.put(instance, door));
-        touched.add(door);
+        InstanceAdapter adapter = new InstanceAdapter(instance, reply, deploymentReader, seed, now);
+        instancesToDecide.remove(instances.put(instance, adapter));
+        instancesToDecide.add(adapter);
     }
 
-    private void event(String name) {
-        Door door = doors.get(instance);
-        if (door == null) {
-            throw line.fault("'" + name + "' for an instance never born: " + instance);
+    private void handleEvent(String name) {
+        InstanceAdapter adapter = instances.get(instance);
+        if (adapter == null) {
+            throw line.error("'" + name + "' for an instance never born: " + instance);
         }
-        touched.add(door);
+        instancesToDecide.add(adapter);
         switch (name) {
-            case "inbound" -> door.inbound(line, now);
-            case "ring" -> door.ring(line, now);
+            case "inbound" -> adapter.onInbound(line, now);
+            case "ring" -> adapter.onTimer(line, now);
             case "wants_call" -> {
-                Exchange ex = door.known(line, needed("rid"));
+                Exchange ex = adapter.lookUp(line, requiredNumber("rid"));
                 if (ex != null) {
-                    door.controller.wantsCall(ex, now);
+                    adapter.controller.onCallRequested(ex, now);
                 }
             }
             case "client_left" -> {
-                Exchange ex = door.known(line, needed("rid"));
+                Exchange ex = adapter.lookUp(line, requiredNumber("rid"));
                 if (ex != null) {
-                    door.controller.callerLeft(ex, now);
+                    adapter.controller.onCallerDisconnected(ex, now);
                 }
             }
-            case "run_over" -> ended(door, true);
-            case "call_result" -> ended(door, false);
+            case "run_over" -> onRunOrCallEnded(adapter, true);
+            case "call_result" -> onRunOrCallEnded(adapter, false);
             case "wind_down" -> {
-                long stop = Long.MIN_VALUE;
+                long stopAt = Long.MIN_VALUE;
                 while (line.nextField()) {
                     if (line.keyIs("clientDeadlineMs")) {
-                        stop = line.tenths();
+                        stopAt = line.tenthsOfMs();
                     }
                 }
-                if (stop == Long.MIN_VALUE) {
-                    throw line.fault("'wind_down' without 'clientDeadlineMs'");
+                if (stopAt == Long.MIN_VALUE) {
+                    throw line.error("'wind_down' without 'clientDeadlineMs'");
                 }
-                door.controller.leave(stop, now);
+                adapter.controller.startDrain(stopAt, now);
             }
             case "halt" -> {
-                touched.remove(door);
-                doors.remove(instance);
+                instancesToDecide.remove(adapter);
+                instances.remove(instance);
             }
-            default -> throw line.fault("unknown message '" + name + "'");
+            default -> throw line.error("unknown message '" + name + "'");
         }
     }
 
-    private void ended(Door door, boolean run) {
+    private void onRunOrCallEnded(InstanceAdapter adapter, boolean isRun) {
         long id = -1;
         Exchange.Outcome outcome = null;
-        long took = 0;
+        long duration = 0;
         while (line.nextField()) {
             if (line.keyIs("rid")) {
-                id = line.whole();
+                id = line.wholeNumber();
             } else if (line.keyIs("disposition")) {
-                outcome = outcome();
+                outcome = parseOutcome();
             } else if (line.keyIs("costTimeMs")) {
-                took = line.tenths();
+                duration = line.tenthsOfMs();
             }
         }
         if (id < 0 || outcome == null) {
-            throw line.fault("'" + line.name() + "' without 'rid' and 'disposition'");
+            throw line.error("'" + line.name() + "' without 'rid' and 'disposition'");
         }
-        Exchange ex = door.known(line, id);
+        Exchange ex = adapter.lookUp(line, id);
         if (ex == null) {
             return;
         }
-        if (run) {
-            door.controller.finished(ex, outcome, took, now);
+        if (isRun) {
+            adapter.controller.onRunEnded(ex, outcome, duration, now);
         } else {
-            door.controller.callEnded(ex, outcome, took, now);
+            adapter.controller.onCallEnded(ex, outcome, duration, now);
         }
     }
 
-    private Exchange.Outcome outcome() {
+    private Exchange.Outcome parseOutcome() {
         return switch (line.text()) {
             case "completed" -> Exchange.Outcome.COMPLETED;
             case "errored" -> Exchange.Outcome.ERRORED;
-            case "saturated" -> Exchange.Outcome.FULL;
-            case "overdue" -> Exchange.Outcome.GIVEN_UP;
-            case "refused_conn" -> Exchange.Outcome.OUT_OF_REACH;
-            case "severed" -> Exchange.Outcome.CUT_OFF;
-            case "recalled" -> Exchange.Outcome.STOPPED;
-            case "superseded" -> Exchange.Outcome.NOTHING_STARTED;
+            case "saturated" -> Exchange.Outcome.CALLEE_SATURATED;
+            case "overdue" -> Exchange.Outcome.TIMED_OUT;
+            case "refused_conn" -> Exchange.Outcome.CONNECTION_REFUSED;
+            case "severed" -> Exchange.Outcome.CONNECTION_LOST;
+            case "recalled" -> Exchange.Outcome.PREEMPTED;
+            case "superseded" -> Exchange.Outcome.NOT_STARTED;
             default -> throw line.badValue("a known outcome");
         };
     }
 
-    private long needed(String key) {
+    private long requiredNumber(String key) {
         long value = -1;
         while (line.nextField()) {
             if (line.keyIs(key)) {
-                value = line.whole();
+                value = line.wholeNumber();
             }
         }
         if (value < 0) {
-            throw line.fault("'" + line.name() + "' without a usable '" + key + "'");
+            throw line.error("'" + line.name() + "' without a usable '" + key + "'");
         }
         return value;
     }
