--- a/instance/src/test/java/vetchrill/control/DecisionsTest.java
+++ b/instance/src/test/java/vetchrill/control/DecisionsTest.java
@@ -12,352 +12,354 @@
 /** The ordinary path of the design, and each exception that a bad day asked for. */
 @Test
 public class DecisionsTest {
-    private static final long MS = Story.MS;
-    private static final long SECOND = Story.SECOND;
-
-    public void idleTimeHalvesPastTheThresholdAndReturnsInSteps() {
-        Story s = new Story();
-        s.connections = 10;
-        s.cpu = 1;
-        assertTrue(s.pass(200 * MS).containsAll(List.of("idle 50000", "idle 25000")));
-        s.pass(2 * SECOND);
-        s.cpu = 0.5;
-        List<String> back = s.pass(300 * MS);
-        assertTrue(back.containsAll(List.of("idle 2100", "idle 4100")), back.toString());
-        assertTrue(s.pass(10 * SECOND).contains("idle 100000"));
+    private static final long MS = ControllerScenario.MS;
+    private static final long SECOND = ControllerScenario.SECOND;
+
+    public void idleTimeHalvesPastTheThresholdAndRecoversInSteps() {
+        ControllerScenario scenario = new ControllerScenario();
+        scenario.connections = 10;
+        scenario.cpu = 1;
+        assertTrue(scenario.advance(200 * MS).containsAll(List.of("idle 50000", "idle 25000")));
+        scenario.advance(2 * SECOND);
+        scenario.cpu = 0.5;
+        List<String> recovering = scenario.advance(300 * MS);
+        assertTrue(recovering.containsAll(List.of("idle 2100", "idle 4100")), recovering.toString());
+        assertTrue(scenario.advance(10 * SECOND).contains("idle 100000"));
     }
 
-    public void connectionsAreScarceWhereCallersAreManyMoreThanTheCoresHaveUseFor() {
-        Story s = new Story();
-        s.told.callers = 500;
-        s.cpu = 0.5;
-        s.connections = 40;
-        assertTrue(s.pass(100 * MS).contains("idle 50000"));
+    public void connectionLimitFollowsTheCoresWhenCallersAreMany() {
+        ControllerScenario scenario = new ControllerScenario();
+        scenario.deployment.callerCount = 500;
+        scenario.cpu = 0.5;
+        scenario.connections = 40;
+        assertTrue(scenario.advance(100 * MS).contains("idle 50000"));
     }
 
-    public void theBoundGrowsWhileCoresIdleAndStopsWhenRunsWantMoreThanThereAre() {
-        Story s = new Story();
-        s.cpu = 0.5;
-        s.runnable = 2.4;
-        s.pass(2 * SECOND);
-        s.arrive(20, "ex", s.read);
-        assertEquals(s.pass(400 * MS).stream().filter("begin ex"::equals).count(), 6);
-        s.runnable = 20;
-        assertFalse(s.pass(400 * MS).contains("begin ex"));
+    public void runLimitGrowsWhileCoresIdleAndStopsWhenTheyAreSaturated() {
+        ControllerScenario scenario = new ControllerScenario();
+        scenario.cpu = 0.5;
+        scenario.runnable = 2.4;
+        scenario.advance(2 * SECOND);
+        scenario.arriveMany(20, "ex", scenario.repeatable);
+        assertEquals(scenario.advance(400 * MS).stream().filter("begin ex"::equals).count(), 6);
+        scenario.runnable = 20;
+        assertFalse(scenario.advance(400 * MS).contains("begin ex"));
     }
 
-    public void oldestFirstWhileAllCanMakeIt() {
-        Story s = new Story();
-        s.usualRuns(s.read, 3, 100 * MS);
-        Exchange x = s.arrives("x", s.read);
-        s.arrives("y", s.read);
-        s.pass(10 * MS);
-        s.arrives("first", s.read);
-        s.pass(10 * MS);
-        s.arrives("dear", s.once);
-        s.completes(x);
-        assertEquals(s.decide(), List.of("begin first"));
+    public void oldestRunsFirstWhileAllCanMeetTheirSlo() {
+        ControllerScenario scenario = new ControllerScenario();
+        scenario.completeRuns(scenario.repeatable, 3, 100 * MS);
+        Exchange x = scenario.arrive("x", scenario.repeatable);
+        scenario.arrive("y", scenario.repeatable);
+        scenario.advance(10 * MS);
+        scenario.arrive("first", scenario.repeatable);
+        scenario.advance(10 * MS);
+        scenario.arrive("dear", scenario.mutating);
+        scenario.complete(x);
+        assertEquals(scenario.decide(), List.of("begin first"));
     }
 
-    public void theLeastBenefitForCoreTimeGoesOnceTheHoldOutlastsTheSloTimes() {
-        Story s = new Story();
-        s.usualRuns(s.read, 3, 800 * MS);
-        s.usualRuns(s.once, 3, 800 * MS);
-        s.arrives("x", s.read);
-        s.arrives("y", s.read);
-        s.arrive(6, "cheap", s.read);
-        s.arrives("dear", s.once);
-        List<String> acts = s.decide();
-        assertTrue(acts.contains("deny cheap") && !acts.contains("deny dear"), acts.toString());
+    public void lowestPriorityIsShedOnceThePendingQueueOutlastsTheSloTimes() {
+        ControllerScenario scenario = new ControllerScenario();
+        scenario.completeRuns(scenario.repeatable, 3, 800 * MS);
+        scenario.completeRuns(scenario.mutating, 3, 800 * MS);
+        scenario.arrive("x", scenario.repeatable);
+        scenario.arrive("y", scenario.repeatable);
+        scenario.arriveMany(6, "cheap", scenario.repeatable);
+        scenario.arrive("dear", scenario.mutating);
+        List<String> actions = scenario.decide();
+        assertTrue(actions.contains("deny cheap") && !actions.contains("deny dear"), actions.toString());
     }
 
-    public void trafficBeyondACustomersShareGivesWayFirst() {
-        Story s = new Story();
-        s.told.allowance = new double[] {1, 20};
-        s.usualRuns(s.read, 3, 800 * MS);
-        s.arrives("x", s.read);
-        s.arrives("y", s.read);
+    public void trafficBeyondACustomersShareIsShedFirst() {
+        ControllerScenario scenario = new ControllerScenario();
+        scenario.deployment.allowancePerSecond = new double[] {1, 20};
+        scenario.completeRuns(scenario.repeatable, 3, 800 * MS);
+        scenario.arrive("x", scenario.repeatable);
+        scenario.arrive("y", scenario.repeatable);
         for (int i = 0; i < 3; i++) {
-            s.arrives("beyond", s.read);
-            Exchange within = s.exchange("within", s.read);
+            scenario.arrive("beyond", scenario.repeatable);
+            Exchange within = scenario.exchange("within", scenario.repeatable);
             within.customer = 1;
-            s.controller().arrived(within, s.now);
+            scenario.controller().onArrival(within, scenario.now);
         }
-        List<String> acts = s.decide();
-        assertTrue(acts.contains("deny beyond"), acts.toString());
-        assertTrue(acts.lastIndexOf("deny beyond") < acts.indexOf("deny within") || !acts.contains("deny within"));
+        List<String> actions = scenario.decide();
+        assertTrue(actions.contains("deny beyond"), actions.toString());
+        assertTrue(actions.lastIndexOf("deny beyond") < actions.indexOf("deny within")
+                || !actions.contains("deny within"));
     }
 
-    public void nothingIsDeniedWhileAllCanStartAtOnce() {
-        Story s = new Story();
-        s.usualRuns(s.read, 3, 5 * SECOND);
-        s.arrives("other", s.read);
-        s.decide();
-        s.arrives("huge", s.read);
-        assertTrue(s.decide().contains("begin huge"));
+    public void nothingIsRejectedWhileAllCanStartAtOnce() {
+        ControllerScenario scenario = new ControllerScenario();
+        scenario.completeRuns(scenario.repeatable, 3, 5 * SECOND);
+        scenario.arrive("other", scenario.repeatable);
+        scenario.decide();
+        scenario.arrive("huge", scenario.repeatable);
+        assertTrue(scenario.decide().contains("begin huge"));
     }
 
-    public void theTierBelowKeepsAShortHold() {
-        for (boolean below : new boolean[] {false, true}) {
-            Story s = new Story();
-            s.told.below = below;
-            s.usualRuns(s.read, 3, 500 * MS);
-            s.arrive(2, "first", s.read);
-            s.arrives("third", s.read);
-            assertEquals(s.decide().contains("deny third"), below);
+    public void backendTierKeepsAShortPendingQueue() {
+        for (boolean backendTier : new boolean[] {false, true}) {
+            ControllerScenario scenario = new ControllerScenario();
+            scenario.deployment.backendTier = backendTier;
+            scenario.completeRuns(scenario.repeatable, 3, 500 * MS);
+            scenario.arriveMany(2, "first", scenario.repeatable);
+            scenario.arrive("third", scenario.repeatable);
+            assertEquals(scenario.decide().contains("deny third"), backendTier);
         }
     }
 
-    public void aFailedCallIsLeftOutWhereThatStillEarns() {
-        Story s = new Story();
-        s.read.benefitWithoutCall = 0.6;
-        Exchange a = s.arrives("a", s.read);
-        s.decide();
-        s.controller().wantsCall(a, s.now);
-        assertEquals(s.decide(), List.of("call a"));
-        s.controller().callEnded(a, Outcome.FULL, 0, s.now);
-        assertTrue(s.pass(400 * MS).contains("leave out a"));
+    public void failedCallIsSkippedWhereTheAnswerKeepsSomeBenefit() {
+        ControllerScenario scenario = new ControllerScenario();
+        scenario.repeatable.benefitWithoutCall = 0.6;
+        Exchange a = scenario.arrive("a", scenario.repeatable);
+        scenario.decide();
+        scenario.controller().onCallRequested(a, scenario.now);
+        assertEquals(scenario.decide(), List.of("call a"));
+        scenario.controller().onCallEnded(a, Outcome.CALLEE_SATURATED, 0, scenario.now);
+        assertTrue(scenario.advance(400 * MS).contains("leave out a"));
     }
 
-    public void aCallThatCanNotBeLeftOutIsMadeUntilTheSloTimeHasPassed() {
-        Story s = new Story();
-        s.usualRuns(s.once, 3, 4 * SECOND);
-        Exchange a = s.arrives("a", s.once);
-        s.pass(1000 * MS);
-        s.controller().wantsCall(a, s.now);
-        assertEquals(s.decide(), List.of("call a"));
+    public void mandatoryCallIsMadeUntilTheSloTimeHasPassed() {
+        ControllerScenario scenario = new ControllerScenario();
+        scenario.completeRuns(scenario.mutating, 3, 4 * SECOND);
+        Exchange a = scenario.arrive("a", scenario.mutating);
+        scenario.advance(1000 * MS);
+        scenario.controller().onCallRequested(a, scenario.now);
+        assertEquals(scenario.decide(), List.of("call a"));
     }
 
-    public void theCallersLeavingFreesOnlyWhatMayRunAgain() {
-        Story s = new Story();
-        s.told.preemption = Deployment.Preemption.PAUSE;
-        Exchange a = s.arrives("a", s.read);
-        Exchange b = s.arrives("b", s.post);
-        s.decide();
-        s.controller().callerLeft(a, s.now);
-        s.controller().callerLeft(b, s.now);
-        assertEquals(s.decide(), List.of("interrupt a"));
+    public void callerDisconnectInterruptsOnlyRepeatableRuns() {
+        ControllerScenario scenario = new ControllerScenario();
+        scenario.deployment.preemption = Deployment.Preemption.PAUSE;
+        Exchange a = scenario.arrive("a", scenario.repeatable);
+        Exchange b = scenario.arrive("b", scenario.deduplicated);
+        scenario.decide();
+        scenario.controller().onCallerDisconnected(a, scenario.now);
+        scenario.controller().onCallerDisconnected(b, scenario.now);
+        assertEquals(scenario.decide(), List.of("interrupt a"));
     }
 
-    public void hungWorkTurnsTheHoldAwayAndHealthGoesBadForALimitedTime() {
-        Story s = new Story();
-        s.told.listFollowsHealth = true;
-        s.usualRuns(s.read, 12, 100 * MS);
-        Exchange a = s.arrives("a", s.read);
-        s.arrives("b", s.read);
-        s.arrives("waits", s.read);
-        List<String> acts = s.pass(1600 * MS);
-        assertTrue(acts.containsAll(List.of("deny waits", "ill")), acts.toString());
-        assertTrue(s.pass(5 * SECOND).contains("well"));
-        s.completes(a);
-        s.pass(100 * MS);
-        s.arrives("new", s.read);
-        assertTrue(s.decide().contains("begin new"));
+    public void stuckRunsRejectPendingWorkAndMarkUnhealthyForALimitedTime() {
+        ControllerScenario scenario = new ControllerScenario();
+        scenario.deployment.discoveryFollowsHealth = true;
+        scenario.completeRuns(scenario.repeatable, 12, 100 * MS);
+        Exchange a = scenario.arrive("a", scenario.repeatable);
+        scenario.arrive("b", scenario.repeatable);
+        scenario.arrive("waits", scenario.repeatable);
+        List<String> actions = scenario.advance(1600 * MS);
+        assertTrue(actions.containsAll(List.of("deny waits", "ill")), actions.toString());
+        assertTrue(scenario.advance(5 * SECOND).contains("well"));
+        scenario.complete(a);
+        scenario.advance(100 * MS);
+        scenario.arrive("new", scenario.repeatable);
+        assertTrue(scenario.decide().contains("begin new"));
     }
 
-    public void oneLongRunIsNoHungWork() {
-        Story s = new Story();
-        s.usualRuns(s.read, 3, 50 * MS);
-        s.arrives("long", s.read);
-        s.pass(1500 * MS);
-        s.arrives("next", s.read);
-        assertTrue(s.decide().contains("begin next"));
+    public void oneLongRunDoesNotCountAsStuck() {
+        ControllerScenario scenario = new ControllerScenario();
+        scenario.completeRuns(scenario.repeatable, 3, 50 * MS);
+        scenario.arrive("long", scenario.repeatable);
+        scenario.advance(1500 * MS);
+        scenario.arrive("next", scenario.repeatable);
+        assertTrue(scenario.decide().contains("begin next"));
     }
 
-    public void aServerWhoseRunsFailDeniesAllButAProbeUntilOneCompletes() {
-        Story s = new Story();
+    public void failingServerRejectsAllButAProbeUntilOneCompletes() {
+        ControllerScenario scenario = new ControllerScenario();
         for (int i = 0; i < 5; i++) {
-            Exchange bad = s.arrives("bad", s.read);
-            s.decide();
-            s.controller().finished(bad, Outcome.ERRORED, 10, s.now);
+            Exchange bad = scenario.arrive("bad", scenario.repeatable);
+            scenario.decide();
+            scenario.controller().onRunEnded(bad, Outcome.ERRORED, 10, scenario.now);
         }
-        s.pass(100 * MS);
-        Exchange probe = s.arrives("probe", s.read);
-        s.arrives("once", s.once);
-        assertEquals(s.decide(), List.of("deny once", "begin probe"));
-        s.arrives("next", s.read);
-        assertEquals(s.decide(), List.of("deny next"));
-        s.completes(probe);
-        s.pass(SECOND);
-        s.completes(s.arrives("another", s.read));
-        s.pass(SECOND);
-        s.arrives("once", s.once);
-        assertTrue(s.decide().contains("begin once"));
+        scenario.advance(100 * MS);
+        Exchange probe = scenario.arrive("probe", scenario.repeatable);
+        scenario.arrive("once", scenario.mutating);
+        assertEquals(scenario.decide(), List.of("deny once", "begin probe"));
+        scenario.arrive("next", scenario.repeatable);
+        assertEquals(scenario.decide(), List.of("deny next"));
+        scenario.complete(probe);
+        scenario.advance(SECOND);
+        scenario.complete(scenario.arrive("another", scenario.repeatable));
+        scenario.advance(SECOND);
+        scenario.arrive("once", scenario.mutating);
+        assertTrue(scenario.decide().contains("begin once"));
     }
 
-    public void aPauseOfTheWholeProcessIsNoHungWork() {
-        Story s = new Story();
-        s.told.listFollowsHealth = true;
-        s.usualRuns(s.read, 3, 100 * MS);
-        s.arrives("a", s.read);
-        s.arrives("b", s.read);
-        s.arrives("waits", s.read);
-        s.decide();
-        s.now += SECOND;
-        s.controller().gauges(1, 2, 0, s.now);
-        assertFalse(s.decide().stream().anyMatch(act -> act.equals("ill") || act.startsWith("deny")));
+    public void processPauseDoesNotCountAsStuck() {
+        ControllerScenario scenario = new ControllerScenario();
+        scenario.deployment.discoveryFollowsHealth = true;
+        scenario.completeRuns(scenario.repeatable, 3, 100 * MS);
+        scenario.arrive("a", scenario.repeatable);
+        scenario.arrive("b", scenario.repeatable);
+        scenario.arrive("waits", scenario.repeatable);
+        scenario.decide();
+        scenario.now += SECOND;
+        scenario.controller().onTick(1, 2, 0, scenario.now);
+        assertFalse(scenario.decide().stream().anyMatch(action -> action.equals("ill") || action.startsWith("deny")));
     }
 
-    public void healthGoesBadWhereWhatIsReadIsTooLateButNotWhereAllAreFull() {
-        assertTrue(flood(10, 5 * SECOND, 0).contains("ill"));
-        assertFalse(flood(60, 5 * SECOND, 0).contains("ill"));
+    public void unhealthyWhenExchangesAreReadTooLateButNotWhenAllServersAreFull() {
+        assertTrue(arriveForFourSeconds(10, 5 * SECOND, 0).contains("ill"));
+        assertFalse(arriveForFourSeconds(60, 5 * SECOND, 0).contains("ill"));
     }
 
     /** Four seconds of arrivals that waited unread for so long, in the first half no longer than a second. */
-    private static List<String> flood(int aSecond, long unread, int blocked) {
-        Story s = new Story();
-        List<String> acts = new ArrayList<>();
-        s.told.listFollowsHealth = true;
-        s.usualRuns(s.read, 3, 600 * MS);
-        s.arrive(blocked, "endless", s.once);
-        for (int i = 0; i < 4 * aSecond; i++) {
-            long waited = i < 2 * aSecond ? Math.min(unread, SECOND) : i % 8 == 0 ? 0 : unread;
-            Exchange ex = s.readAfter("ex", s.read, waited);
-            acts.addAll(s.pass(SECOND / aSecond));
-            if (ex.ran && !ex.over()) {
-                s.completes(ex);
+    private static List<String> arriveForFourSeconds(int perSecond, long readDelay, int blocked) {
+        ControllerScenario scenario = new ControllerScenario();
+        List<String> actions = new ArrayList<>();
+        scenario.deployment.discoveryFollowsHealth = true;
+        scenario.completeRuns(scenario.repeatable, 3, 600 * MS);
+        scenario.arriveMany(blocked, "endless", scenario.mutating);
+        for (int i = 0; i < 4 * perSecond; i++) {
+            long exchangeReadDelay = i < 2 * perSecond ? Math.min(readDelay, SECOND) : i % 8 == 0 ? 0 : readDelay;
+            Exchange ex = scenario.arriveAfterReadDelay("ex", scenario.repeatable, exchangeReadDelay);
+            actions.addAll(scenario.advance(SECOND / perSecond));
+            if (ex.everStarted && !ex.isFinished()) {
+                scenario.complete(ex);
             }
         }
-        return acts;
+        return actions;
     }
 
-    private static void thirtyReadLate(Story s, long unread) {
+    private static void arriveThirtyReadLate(ControllerScenario scenario, long readDelay) {
         for (int i = 0; i < 30; i++) {
-            s.readAfter("ex", s.read, unread);
+            scenario.arriveAfterReadDelay("ex", scenario.repeatable, readDelay);
         }
     }
 
-    public void badHealthEndsOnceTheCoresHaveCaughtUp() {
-        Story s = new Story();
-        s.told.listFollowsHealth = true;
-        thirtyReadLate(s, 5 * SECOND);
-        assertTrue(s.pass(100 * MS).contains("ill"));
-        assertFalse(s.pass(SECOND).contains("well"));
-        s.cpu = 0.3;
-        assertTrue(s.pass(100 * MS).contains("well"));
+    public void unhealthyStateEndsOnceTheCoresHaveCaughtUp() {
+        ControllerScenario scenario = new ControllerScenario();
+        scenario.deployment.discoveryFollowsHealth = true;
+        arriveThirtyReadLate(scenario, 5 * SECOND);
+        assertTrue(scenario.advance(100 * MS).contains("ill"));
+        assertFalse(scenario.advance(SECOND).contains("well"));
+        scenario.cpu = 0.3;
+        assertTrue(scenario.advance(100 * MS).contains("well"));
     }
 
-    public void aColdServerReadsTooLateSooner() {
+    public void coldServerTurnsUnhealthyAtAShorterReadDelay() {
         for (boolean cold : new boolean[] {false, true}) {
-            Story s = new Story();
-            s.told.listFollowsHealth = true;
-            s.told.cold = cold;
-            s.told.coldShare = 0.2;
-            s.told.warmUp = 16 * SECOND;
-            thirtyReadLate(s, 600 * MS);
-            assertEquals(s.pass(100 * MS).contains("ill"), cold);
+            ControllerScenario scenario = new ControllerScenario();
+            scenario.deployment.discoveryFollowsHealth = true;
+            scenario.deployment.startsCold = cold;
+            scenario.deployment.coldSpeedRatio = 0.2;
+            scenario.deployment.warmUpTime = 16 * SECOND;
+            arriveThirtyReadLate(scenario, 600 * MS);
+            assertEquals(scenario.advance(100 * MS).contains("ill"), cold);
         }
     }
 
-    public void aHugeExchangeIsNotHopelessBecauseSmallOnesWaitForDisk() {
-        Story s = new Story();
-        s.read.sloTime = 4 * SECOND;
+    public void hugeExchangeIsNotRejectedBecauseSmallOnesWaitForDisk() {
+        ControllerScenario scenario = new ControllerScenario();
+        scenario.repeatable.sloTime = 4 * SECOND;
         for (int i = 0; i < 8; i++) {
-            Exchange ex = s.arrives("ex", s.read);
-            ex.work = i < 4 ? 10 * MS : 400 * MS;
-            s.pass(200 * MS + ex.work);
-            s.completes(ex);
+            Exchange ex = scenario.arrive("ex", scenario.repeatable);
+            ex.declaredCoreTime = i < 4 ? 10 * MS : 400 * MS;
+            scenario.advance(200 * MS + ex.declaredCoreTime);
+            scenario.complete(ex);
         }
-        s.arrives("x", s.read).work = 10 * MS;
-        s.arrives("y", s.read).work = 10 * MS;
-        s.arrives("huge", s.read).work = SECOND;
-        assertFalse(s.decide().contains("deny huge"));
+        scenario.arrive("x", scenario.repeatable).declaredCoreTime = 10 * MS;
+        scenario.arrive("y", scenario.repeatable).declaredCoreTime = 10 * MS;
+        scenario.arrive("huge", scenario.repeatable).declaredCoreTime = SECOND;
+        assertFalse(scenario.decide().contains("deny huge"));
     }
 
-    public void runsGiveWayToReadingWhileExchangesWaitLongUnread() {
-        Story s = new Story();
-        thirtyReadLate(s, 2500 * MS);
-        s.pass(300 * MS);
-        s.arrives("a", s.once);
-        s.arrives("b", s.once);
-        List<String> acts = s.decide();
-        assertTrue(acts.contains("begin a") && !acts.contains("begin b"), acts.toString());
+    public void runLimitDropsWhileTheReadDelayIsLong() {
+        ControllerScenario scenario = new ControllerScenario();
+        arriveThirtyReadLate(scenario, 2500 * MS);
+        scenario.advance(300 * MS);
+        scenario.arrive("a", scenario.mutating);
+        scenario.arrive("b", scenario.mutating);
+        List<String> actions = scenario.decide();
+        assertTrue(actions.contains("begin a") && !actions.contains("begin b"), actions.toString());
     }
 
-    public void callersAreAskedToGiveUpWhereReadingIsDearAndAlwaysOnceArrivalsAreUp() {
-        assertEquals(forGood(flood(60, 200 * MS, 2)), 1, 0.2);
-        assertTrue(forGood(flood(60, 2 * MS, 2)) < 0.2, "reading is cheap, let it go elsewhere");
-        double some = forGood(flood(16, 100 * MS, 2));
-        assertTrue(some > 0.2 && some < 0.8, "only this one is slow, but reading is dear: " + some);
+    public void retriesAreForbiddenWhenReadingIsExpensiveAndAlwaysOnceArrivalsRise() {
+        assertEquals(noRetryRatio(arriveForFourSeconds(60, 200 * MS, 2)), 1, 0.2);
+        assertTrue(noRetryRatio(arriveForFourSeconds(60, 2 * MS, 2)) < 0.2, "reading is cheap, let it go elsewhere");
+        double ratio = noRetryRatio(arriveForFourSeconds(16, 100 * MS, 2));
+        assertTrue(ratio > 0.2 && ratio < 0.8, "only this one is slow, but reading is dear: " + ratio);
     }
 
     /** Part of the denials for good, up to where the blocked cores count as hung. */
-    private static double forGood(List<String> all) {
-        List<String> acts = all.contains("ill") ? all.subList(0, all.indexOf("ill") - 12) : all;
-        return (double) acts.stream().filter("deny for good ex"::equals).count()
-                / acts.stream().filter(act -> act.startsWith("deny")).count();
+    private static double noRetryRatio(List<String> all) {
+        List<String> actions = all.contains("ill") ? all.subList(0, all.indexOf("ill") - 12) : all;
+        return (double) actions.stream().filter("deny for good ex"::equals).count()
+                / actions.stream().filter(action -> action.startsWith("deny")).count();
     }
 
-    public void markedFurtherTriesTellThatTheOthersAreFullToo() {
-        assertTrue(askedToGiveUp(2) > 0.9);
-        assertTrue(askedToGiveUp(50) < 0.2, "only this one is short");
+    public void manyMarkedRetriesMeanThatOtherServersAreFullToo() {
+        assertTrue(noRetryRatioWithMarkedRetries(2) > 0.9);
+        assertTrue(noRetryRatioWithMarkedRetries(50) < 0.2, "only this one is short");
     }
 
-    private static double askedToGiveUp(int oneIn) {
-        Story s = new Story();
-        s.told.marksFurtherTries = true;
+    private static double noRetryRatioWithMarkedRetries(int retryEvery) {
+        ControllerScenario scenario = new ControllerScenario();
+        scenario.deployment.callersMarkRetries = true;
         for (int i = 0; i < 100; i++) {
-            Exchange ex = s.exchange("ex", s.read);
-            ex.furtherTry = i % oneIn == oneIn - 1;
-            s.controller().arrived(ex, s.now);
+            Exchange ex = scenario.exchange("ex", scenario.repeatable);
+            ex.retry = i % retryEvery == retryEvery - 1;
+            scenario.controller().onArrival(ex, scenario.now);
         }
-        return forGood(s.decide());
+        return noRetryRatio(scenario.decide());
     }
 
-    public void tokensFallToWhatIsOutWhenWorkIsDeniedAndGrowBack() {
-        Story s = new Story();
-        s.told.say = Deployment.Say.TOKENS;
-        denySome(s);
-        List<String> acts = s.pass(600 * MS);
-        acts.removeIf(act -> !act.startsWith("say"));
-        assertEquals(acts, List.of("say 2.0", "say 2.2", "say 2.4"));
+    public void tokensFallToTheOpenExchangesOnRejectionAndGrowBack() {
+        ControllerScenario scenario = new ControllerScenario();
+        scenario.deployment.loadHint = Deployment.LoadHint.TOKENS;
+        rejectSome(scenario);
+        List<String> actions = scenario.advance(600 * MS);
+        actions.removeIf(action -> !action.startsWith("say"));
+        assertEquals(actions, List.of("say 2.0", "say 2.2", "say 2.4"));
     }
 
-    public void theLeastRankRisesWhileWorkIsDenied() {
-        Story s = new Story();
-        s.told.say = Deployment.Say.LEAST_RANK;
-        List<String> acts = new ArrayList<>();
+    public void minRankRisesWhileWorkIsRejected() {
+        ControllerScenario scenario = new ControllerScenario();
+        scenario.deployment.loadHint = Deployment.LoadHint.MIN_RANK;
+        List<String> actions = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            denySome(s);
-            acts.addAll(s.pass(100 * MS));
+            rejectSome(scenario);
+            actions.addAll(scenario.advance(100 * MS));
         }
-        assertTrue(acts.contains("say 0.1"), acts.toString());
-        assertTrue(s.pass(2 * SECOND).contains("say 0.0"));
+        assertTrue(actions.contains("say 0.1"), actions.toString());
+        assertTrue(scenario.advance(2 * SECOND).contains("say 0.0"));
     }
 
-    private static void denySome(Story s) {
-        s.read.onCore.add(600 * MS);
-        s.arrive(10, "ex", s.read);
-        assertTrue(s.decide().contains("deny ex"));
+    private static void rejectSome(ControllerScenario scenario) {
+        scenario.repeatable.coreTime.add(600 * MS);
+        scenario.arriveMany(10, "ex", scenario.repeatable);
+        assertTrue(scenario.decide().contains("deny ex"));
     }
 
     /** Told a second where the hold turns over in half of one, all callers were away while cores were idle. */
-    public void aFullServerAsksToStayAwayForAsLongAsItsHoldTurnsOverAndALeavingOneForLonger() {
-        Story s = new Story();
-        s.usualRuns(s.read, 20, 200 * Story.MS);
-        s.arrive(60, "one of many", s.read);
-        s.decide();
-        assertTrue(s.longestAwayAsked > 300 * Story.MS && s.longestAwayAsked <= 500 * Story.MS,
-                "away " + s.longestAwayAsked);
-        s.controller().leave(s.now + 4 * Story.SECOND, s.now);
-        s.arrive(60, "one of many", s.read);
-        s.decide();
-        assertTrue(s.longestAwayAsked > 600 * Story.MS, "leaving " + s.longestAwayAsked);
+    public void retryAfterFollowsThePendingTurnoverAndIsLongerWhileDraining() {
+        ControllerScenario scenario = new ControllerScenario();
+        scenario.completeRuns(scenario.repeatable, 20, 200 * ControllerScenario.MS);
+        scenario.arriveMany(60, "one of many", scenario.repeatable);
+        scenario.decide();
+        assertTrue(scenario.longestRetryAfter > 300 * ControllerScenario.MS && scenario.longestRetryAfter <= 500
+                * ControllerScenario.MS,
+                "away " + scenario.longestRetryAfter);
+        scenario.controller().startDrain(scenario.now + 4 * ControllerScenario.SECOND, scenario.now);
+        scenario.arriveMany(60, "one of many", scenario.repeatable);
+        scenario.decide();
+        assertTrue(scenario.longestRetryAfter > 600 * ControllerScenario.MS, "leaving " + scenario.longestRetryAfter);
     }
 
     /** A crowd that all come at once must not stop the decisions for everybody else. */
-    public void denyingACrowdTakesTimeInProportionToIt() {
-        Story s = new Story();
-        s.told.memoryKb = 1e9;
-        s.usualRuns(s.read, 20, 40 * Story.MS);
-        s.usualRuns(s.once, 20, 90 * Story.MS);
+    public void rejectingABurstTakesTimeInProportionToItsSize() {
+        ControllerScenario scenario = new ControllerScenario();
+        scenario.deployment.memoryKb = 1e9;
+        scenario.completeRuns(scenario.repeatable, 20, 40 * ControllerScenario.MS);
+        scenario.completeRuns(scenario.mutating, 20, 90 * ControllerScenario.MS);
         for (int i = 0; i < 4000; i++) {
-            s.arrives("one of many", i % 3 == 0 ? s.once : s.read);
+            scenario.arrive("one of many", i % 3 == 0 ? scenario.mutating : scenario.repeatable);
         }
-        long since = System.nanoTime();
-        long denied = s.decide().stream().filter(act -> act.startsWith("deny")).count();
-        long took = (System.nanoTime() - since) / 1_000_000;
-        assertTrue(denied > 3000, "denied " + denied);
-        assertTrue(took < 1500, took + " ms");
+        long startNanos = System.nanoTime();
+        long rejected = scenario.decide().stream().filter(action -> action.startsWith("deny")).count();
+        long elapsedMs = (System.nanoTime() - startNanos) / 1_000_000;
+        assertTrue(rejected > 3000, "denied " + rejected);
+        assertTrue(elapsedMs < 1500, elapsedMs + " ms");
     }
 }
--- a/instance/src/test/java/vetchrill/routing/ClockTest.java
+++ b/instance/src/test/java/vetchrill/routing/ClockTest.java
@@ -8,7 +8,7 @@
 @Test
 public class ClockTest {
     /** On its way as the clock was stepped, forward or back: it is as old as it was, and past the grace if it was. */
-    public void whatWasStampedBeforeAStepOfTheClockAndReadAfterItKeepsItsTime() {
+    public void timestampTakenBeforeAClockStepKeepsItsTime() {
         for (long step : new long[] {25_000, -25_000}) {
             long[] clocks = {17_645_760_000_000L, 0};
             Clock clock = new Clock(() -> clocks[0], () -> clocks[1] * 100_000);
@@ -18,21 +18,21 @@
             long at = clock.now();
             clocks[0] += step + 200;
             clocks[1] += 200;
-            assertEquals(clock.stamped(before, 600_000), at, "stamped before a step of " + step);
+            assertEquals(clock.fromWallMillis(before, 600_000), at, "stamped before a step of " + step);
             long now = clock.now();
-            assertEquals(clock.stamped(clocks[0] / 10, 600_000), now, "stamped after it");
-            assertEquals(clock.stamped(before, 600_000), at, "stamped before, read later");
+            assertEquals(clock.fromWallMillis(clocks[0] / 10, 600_000), now, "stamped after it");
+            assertEquals(clock.fromWallMillis(before, 600_000), at, "stamped before, read later");
         }
     }
 
-    public void whatCameTogetherStaysTogetherAndNothingIsFromTheFutureOrAbsurdlyOld() {
+    public void equalTimestampsStayEqualAndAgesAreBounded() {
         Clock clock = new Clock();
-        long stamp = System.currentTimeMillis() - 40;
+        long wallMillis = System.currentTimeMillis() - 40;
         for (int i = 0; i < 1000; i++) {
-            assertEquals(clock.stamped(stamp, 10_000), stamp * 10);
+            assertEquals(clock.fromWallMillis(wallMillis, 10_000), wallMillis * 10);
         }
-        assertTrue(clock.stamped(stamp + 3_600_000, 10_000) <= clock.now());
+        assertTrue(clock.fromWallMillis(wallMillis + 3_600_000, 10_000) <= clock.now());
         long before = clock.now();
-        assertTrue(clock.stamped(0, 10_000) >= before - 10_000);
+        assertTrue(clock.fromWallMillis(0, 10_000) >= before - 10_000);
     }
 }
--- a/instance/src/test/java/vetchrill/wire/WireHostTest.java
+++ b/instance/src/test/java/vetchrill/wire/WireHostTest.java
@@ -33,14 +33,14 @@
         assertTrue(reply.contains("begin rid=4227996113120025\n"), reply);
     }
 
-    public void aStoppedInstanceStartsAfreshInTheSameBatch() throws IOException {
+    public void haltedInstanceCanBeCreatedAgainInTheSameBatch() throws IOException {
         String reply = reply("sync tsMs=1 seq=1\n" + BORN + "inbound rid=7 type=0\ncommit\n"
                 + "sync tsMs=2 seq=2\nat instance=3\nhalt\n" + BORN + "inbound rid=8 type=0\ncommit\n");
         assertTrue(reply.contains("begin rid=8"), reply);
         assertEquals(reply.split("status ").length - 1, 2, "both lives say that they are well");
     }
 
-    public void anEventForWhatIsOverDoesNoHarm() throws IOException {
+    public void eventForAFinishedExchangeIsIgnored() throws IOException {
         reply("sync tsMs=1 seq=1\n" + BORN + "inbound rid=7 type=0\ncommit\nsync tsMs=2 seq=2\nat instance=3\n"
                 + "run_over rid=7 disposition=completed costTimeMs=1\nclient_left rid=7\ncommit\n");
     }
@@ -66,8 +66,8 @@
     }
 
     @Test(dataProvider = "faults")
-    public void badInputIsNamedByLineAndReason(String input, String message) {
-        WireFault fault = expectThrows(WireFault.class, () -> reply(input));
+    public void invalidInputIsReportedWithLineAndReason(String input, String message) {
+        WireFormatException fault = expectThrows(WireFormatException.class, () -> reply(input));
         assertTrue(fault.getMessage().startsWith(message), fault.getMessage());
     }
 
@@ -79,6 +79,7 @@
         }
         String reply = reply(input.append("commit\nsync tsMs=2 seq=1\ncommit\n").toString());
         assertTrue(reply.endsWith("end seq=0\nend seq=1\n"));
-        assertThrows(WireFault.class, () -> reply("sync tsMs=1 seq=0\n" + "x".repeat(200_000) + "\ncommit\n"));
+        assertThrows(WireFormatException.class,
+                () -> reply("sync tsMs=1 seq=0\n" + "x".repeat(200_000) + "\ncommit\n"));
     }
 }
--- a/lab/src/main/java/vetchrill/auditing/AuditColumns.java
+++ b/lab/src/main/java/vetchrill/auditing/AuditColumns.java
@@ -12,7 +12,7 @@
 import org.apache.arrow.vector.VarCharVector;
 import org.apache.arrow.vector.VectorSchemaRoot;
 import org.apache.arrow.vector.ipc.ArrowFileWriter;
-import vetchrill.audit.Row;
+import vetchrill.audit.AuditEvent;
 
 /** All rows of all records in one Arrow file, whole batches at a time, one record after the other. */
 public final class AuditColumns {
@@ -50,15 +50,15 @@
                     instance.setSafe(i, its.name.getBytes(StandardCharsets.UTF_8));
                     kind.setSafe(i, row.kind().name().getBytes(StandardCharsets.UTF_8));
                     life.setSafe(i, its.life);
-                    hybrid.setSafe(i, row.hybrid());
+                    hybrid.setSafe(i, row.hybridTime());
                     id.setSafe(i, row.id());
                     version.setSafe(i, row.version());
                     group.setSafe(i, row.group());
                     customer.setSafe(i, row.customer());
-                    answer.setSafe(i, row.kind() == Row.Kind.OVER ? row.answer() : 0);
-                    at.setSafe(i, row.at());
+                    answer.setSafe(i, row.kind() == AuditEvent.Kind.OVER ? row.answer() : 0);
+                    at.setSafe(i, row.instanceTime());
                     text.setSafe(i, row.text().getBytes(StandardCharsets.UTF_8));
-                    more.setSafe(i, row.more().getBytes(StandardCharsets.UTF_8));
+                    more.setSafe(i, row.detail().getBytes(StandardCharsets.UTF_8));
                     if (rows[0] == BATCH) {
                         batch(root, out, rows, written);
                     }
--- a/lab/src/main/java/vetchrill/auditing/AuditPage.java
+++ b/lab/src/main/java/vetchrill/auditing/AuditPage.java
@@ -6,8 +6,8 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import vetchrill.audit.HybridTime;
-import vetchrill.audit.Row;
+import vetchrill.audit.HybridLogicalClock;
+import vetchrill.audit.AuditEvent;
 
 /** One page to look at: a lane for each instance, by which version it decided, and what staff was told. */
 public final class AuditPage {
@@ -28,8 +28,8 @@
         List<Fleetwide.Told> all = fleet.timeline();
         Map<String, List<Fleetwide.Told>> lanes = new TreeMap<>();
         all.forEach(each -> lanes.computeIfAbsent(each.name(), any -> new ArrayList<>()).add(each));
-        long first = all.isEmpty() ? 0 : HybridTime.millis(all.get(0).row().hybrid());
-        long last = all.isEmpty() ? 1 : HybridTime.millis(all.get(all.size() - 1).row().hybrid());
+        long first = all.isEmpty() ? 0 : HybridLogicalClock.toMillis(all.get(0).row().hybridTime());
+        long last = all.isEmpty() ? 1 : HybridLogicalClock.toMillis(all.get(all.size() - 1).row().hybridTime());
         double scale = (double) (WIDTH - LEFT - 20) / Math.max(1, last - first);
         StringBuilder page = new StringBuilder("<!DOCTYPE html>\n<meta charset=\"utf-8\"><title>Versions</title>\n"
                 + "<style>body{font:14px sans-serif}text{font:11px sans-serif}td{padding:1px 8px}</style>\n"
@@ -45,11 +45,12 @@
         }
         page.append("</svg>\n<table>\n");
         for (Fleetwide.Told each : all) {
-            Row row = each.row();
-            if (row.kind() == Row.Kind.EVENT && !row.text().equals("HEARD") && !row.text().equals("TAKEN")) {
+            AuditEvent row = each.row();
+            if (row.kind() == AuditEvent.Kind.EVENT && !row.text().equals("HEARD") && !row.text().equals("TAKEN")) {
                 page.append(String.format(Locale.ROOT, "<tr><td>%.3f s<td>%s<td>%s<td>version %d<td>%s%n",
-                        (HybridTime.millis(row.hybrid()) - first) / 1e3, plain(each.name()), plain(row.text()),
-                        row.version(), plain(row.more())));
+                        (HybridLogicalClock.toMillis(row.hybridTime()) - first) / 1e3, plain(each.name()),
+                        plain(row.text()),
+                        row.version(), plain(row.detail())));
             }
         }
         return page.append("</table>\n").toString();
@@ -61,15 +62,15 @@
         long version = 0;
         boolean barred = false;
         for (Fleetwide.Told each : told) {
-            Row row = each.row();
-            long at = HybridTime.millis(row.hybrid());
-            if (row.kind() == Row.Kind.LIFE || row.kind() == Row.Kind.END) {
+            AuditEvent row = each.row();
+            long at = HybridLogicalClock.toMillis(row.hybridTime());
+            if (row.kind() == AuditEvent.Kind.LIFE || row.kind() == AuditEvent.Kind.END) {
                 barred = true;
-            } else if (row.kind() == Row.Kind.TAKEN) {
+            } else if (row.kind() == AuditEvent.Kind.TAKEN) {
                 version = row.version();
-            } else if (row.kind() == Row.Kind.EVENT && row.text().equals("BARRED")) {
+            } else if (row.kind() == AuditEvent.Kind.EVENT && row.text().equals("BARRED")) {
                 barred = true;
-            } else if (row.kind() == Row.Kind.EVENT && row.text().equals("FREE")) {
+            } else if (row.kind() == AuditEvent.Kind.EVENT && row.text().equals("FREE")) {
                 barred = false;
             } else {
                 continue;
@@ -89,14 +90,15 @@
             }
         }
         for (Fleetwide.Told each : told) {
-            Row row = each.row();
-            boolean bad = row.kind() == Row.Kind.EVENT && List.of("FORK", "STOPPED", "REFUSED", "DISK", "BEHIND")
+            AuditEvent row = each.row();
+            boolean bad = row.kind() == AuditEvent.Kind.EVENT && List.of("FORK", "STOPPED", "REFUSED", "DISK", "BEHIND")
                     .contains(row.text());
-            if (bad || row.kind() == Row.Kind.LIFE || row.kind() == Row.Kind.LEFT_OUT) {
+            if (bad || row.kind() == AuditEvent.Kind.LIFE || row.kind() == AuditEvent.Kind.LEFT_OUT) {
                 page.append(String.format(Locale.ROOT, "<circle cx=\"%.1f\" cy=\"%d\" r=\"%d\" fill=\"%s\"><title>%s "
-                        + "%s</title></circle>%n", LEFT + (HybridTime.millis(row.hybrid()) - first) * scale,
-                        y + LANE - 6, ROUND / 2, bad ? "#c00" : row.kind() == Row.Kind.LIFE ? "#060" : "#c80",
-                        row.kind() == Row.Kind.EVENT ? plain(row.text()) : row.kind(), plain(row.more())));
+                        + "%s</title></circle>%n", LEFT + (HybridLogicalClock.toMillis(row.hybridTime()) - first)
+                        * scale,
+                        y + LANE - 6, ROUND / 2, bad ? "#c00" : row.kind() == AuditEvent.Kind.LIFE ? "#060" : "#c80",
+                        row.kind() == AuditEvent.Kind.EVENT ? plain(row.text()) : row.kind(), plain(row.detail())));
             }
         }
     }
--- a/lab/src/main/java/vetchrill/auditing/Fleetwide.java
+++ b/lab/src/main/java/vetchrill/auditing/Fleetwide.java
@@ -9,13 +9,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import vetchrill.audit.HybridTime;
-import vetchrill.audit.Row;
+import vetchrill.audit.HybridLogicalClock;
+import vetchrill.audit.AuditEvent;
 
 /** The records of all instances, held against each other. */
 public final class Fleetwide {
     /** A row and whose it is. */
-    public record Told(String name, long life, Row row) {
+    public record Told(String name, long life, AuditEvent row) {
     }
 
     /** What one instance began under a floor, after somebody had held that floor to be confirmed. */
@@ -104,7 +104,7 @@
                 }
             }
         });
-        all.sort(Comparator.comparingLong((Told each) -> each.row().hybrid()).thenComparing(Told::name));
+        all.sort(Comparator.comparingLong((Told each) -> each.row().hybridTime()).thenComparing(Told::name));
         return all;
     }
 
@@ -112,13 +112,13 @@
     public List<Told> who(long id) throws IOException {
         List<Told> all = new ArrayList<>();
         read((history, row) -> {
-            if (row.id() == id && (row.kind() == Row.Kind.BEGUN || row.kind() == Row.Kind.OVER)) {
+            if (row.id() == id && (row.kind() == AuditEvent.Kind.BEGUN || row.kind() == AuditEvent.Kind.OVER)) {
                 synchronized (all) {
                     all.add(new Told(history.name, history.life, row));
                 }
             }
         });
-        all.sort(Comparator.comparingLong((Told each) -> each.row().hybrid()).thenComparing(Told::name));
+        all.sort(Comparator.comparingLong((Told each) -> each.row().hybridTime()).thenComparing(Told::name));
         return all;
     }
 
@@ -126,28 +126,30 @@
     public List<Below> stragglers() throws IOException {
         TreeMap<Long, Long> confirmed = new TreeMap<>();
         for (Told each : timeline()) {
-            if (each.row().kind() == Row.Kind.EVENT && each.row().text().equals("CONFIRMED")) {
-                confirmed.merge(each.row().version(), each.row().hybrid(), Math::min);
+            if (each.row().kind() == AuditEvent.Kind.EVENT && each.row().text().equals("CONFIRMED")) {
+                confirmed.merge(each.row().version(), each.row().hybridTime(), Math::min);
             }
         }
         Map<String, long[]> sums = new TreeMap<>();
         read((history, row) -> {
-            Map.Entry<Long, Long> above = row.kind() == Row.Kind.BEGUN ? confirmed.higherEntry(row.version()) : null;
-            if (above != null && row.hybrid() > above.getValue()) {
+            Map.Entry<Long, Long> above = row.kind() == AuditEvent.Kind.BEGUN ? confirmed.higherEntry(row.version())
+                    : null;
+            if (above != null && row.hybridTime() > above.getValue()) {
                 synchronized (sums) {
                     long[] sum = sums.computeIfAbsent(history.name + " " + above.getKey(),
-                            any -> new long[] {0, row.hybrid(), row.hybrid()});
+                            any -> new long[] {0, row.hybridTime(), row.hybridTime()});
                     sum[0]++;
-                    sum[1] = Math.min(sum[1], row.hybrid());
-                    sum[2] = Math.max(sum[2], row.hybrid());
+                    sum[1] = Math.min(sum[1], row.hybridTime());
+                    sum[2] = Math.max(sum[2], row.hybridTime());
                 }
             }
         });
         List<Below> all = new ArrayList<>();
         sums.forEach((key, sum) -> {
             long floor = Long.parseLong(key.substring(key.lastIndexOf(' ') + 1));
-            all.add(new Below(key.substring(0, key.lastIndexOf(' ')), floor, sum[0], HybridTime.millis(sum[1]),
-                    HybridTime.millis(sum[2]), HybridTime.millis(confirmed.get(floor))));
+            all.add(new Below(key.substring(0, key.lastIndexOf(' ')), floor, sum[0],
+                    HybridLogicalClock.toMillis(sum[1]),
+                    HybridLogicalClock.toMillis(sum[2]), HybridLogicalClock.toMillis(confirmed.get(floor))));
         });
         return all;
     }
--- a/lab/src/main/java/vetchrill/auditing/History.java
+++ b/lab/src/main/java/vetchrill/auditing/History.java
@@ -8,15 +8,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import vetchrill.audit.HybridTime;
-import vetchrill.audit.Row;
-import vetchrill.audit.Segments;
+import vetchrill.audit.HybridLogicalClock;
+import vetchrill.audit.AuditEvent;
+import vetchrill.audit.AuditSegments;
 
 /** The record of one instance as its files hold it, read from beginning to end, and what is wrong with it. */
 public final class History {
     /** Who is told of the rows, with what holds where they stand. */
     public interface Rows {
-        void row(History history, Row row);
+        void row(History history, AuditEvent row);
     }
 
     /** What another instance was told of this kind of record: so far had it come, with that digest. */
@@ -96,16 +96,16 @@
         for (int i = 0; i < files.size(); i++) {
             boolean last = i == files.size() - 1;
             Path file = files.get(i);
-            Segments.End end = Segments.read(file, new Segments.Reader() {
+            AuditSegments.SegmentEnd end = AuditSegments.read(file, new AuditSegments.Visitor() {
                 @Override
-                public void segment(Path at, Segments.Head head) {
+                public void segment(Path at, AuditSegments.Header head) {
                     if (!head.name().equals(name)) {
                         wrong.add(at.getFileName() + " is of " + head.name());
                     }
                     if (expected >= 0 && head.firstBlock() != expected) {
                         wrong.add(at.getFileName() + " begins at block " + head.firstBlock()
                                 + ", the one before ends at " + expected);
-                    } else if (before[0] != null && !Arrays.equals(before[0], head.before())) {
+                    } else if (before[0] != null && !Arrays.equals(before[0], head.previousDigest())) {
                         wrong.add(at.getFileName() + " does not follow from the one before: another digest");
                     }
                     if (firstBlock < 0) {
@@ -121,16 +121,16 @@
                     if (!chained) {
                         wrong.add(at.getFileName() + ": block " + number + " does not follow from the one before");
                     }
-                    add(prefix(Segments.hex(digest)));
+                    add(prefix(AuditSegments.hex(digest)));
                 }
 
                 @Override
-                public void row(Row row) {
+                public void event(AuditEvent row) {
                     take(row, to);
                 }
 
                 @Override
-                public void broken(Path at, long where, long left, String why) {
+                public void unreadable(Path at, long where, long left, String why) {
                     if (last) {
                         torn += left;
                     } else {
@@ -143,28 +143,30 @@
         }
     }
 
-    private void take(Row row, Rows to) {
+    private void take(AuditEvent row, Rows to) {
         rows++;
         switch (row.kind()) {
             case LIFE -> {
                 lives++;
                 life = row.id();
-                what = row.more();
+                what = row.detail();
             }
             case BEGUN -> begun++;
             case OVER -> over++;
             case END -> ends++;
             case LEFT_OUT -> leftOut += row.id();
-            case HEAD -> heads.add(new Head(name, row.text(), row.id(), prefix(row.more()), row.hybrid()));
+            case HEAD -> heads.add(new Head(name, row.text(), row.id(), prefix(row.detail()), row.hybridTime()));
             default -> {
             }
         }
-        if (row.kind() == Row.Kind.LIFE && lastHybrid > 0
-                && HybridTime.millis(lastHybrid) - HybridTime.millis(row.hybrid()) > CLOCKS_APART_MS) {
-            wrong.add("the clock went back by " + (HybridTime.millis(lastHybrid) - HybridTime.millis(row.hybrid()))
+        if (row.kind() == AuditEvent.Kind.LIFE && lastHybrid > 0
+                && HybridLogicalClock.toMillis(lastHybrid)
+                - HybridLogicalClock.toMillis(row.hybridTime()) > CLOCKS_APART_MS) {
+            wrong.add("the clock went back by "
+                    + (HybridLogicalClock.toMillis(lastHybrid) - HybridLogicalClock.toMillis(row.hybridTime()))
                     + " ms between two lives");
         }
-        lastHybrid = row.hybrid();
+        lastHybrid = row.hybridTime();
         if (to != null) {
             to.row(this, row);
         }
--- a/lab/src/main/java/vetchrill/bench/RecorderBench.java
+++ b/lab/src/main/java/vetchrill/bench/RecorderBench.java
@@ -64,22 +64,22 @@
         long now = ++at;
         Recorder recorder = writer;
         if (recorder != null) {
-            Recorder.ExchangeRow row = recorder.claimExchange();
+            Recorder.ExchangeRow row = recorder.claimExchangeRow();
             if (row != null) {
-                row.arrived = now;
-                row.heard = now + 5;
+                row.arrivedAt = now;
+                row.dequeuedAt = now + 5;
                 row.group = 1;
                 row.customer = 1;
-                row.stub = 3;
+                row.stubNumber = 3;
                 row.subject = now;
                 row.kb = 24;
                 row.bytes = 200;
-                row.begun = now + 6;
-                row.took = 400;
-                row.answered = now + 410;
-                row.answer = Recorder.COMPLETED;
-                row.away = 0;
-                row.giveUp = false;
+                row.startedAt = now + 6;
+                row.runDuration = 400;
+                row.answeredAt = now + 410;
+                row.answerKind = Recorder.COMPLETED;
+                row.retryAfter = 0;
+                row.doNotRetry = false;
                 recorder.put(row);
             }
         }
--- a/lab/src/main/java/vetchrill/capture/Capture.java
+++ b/lab/src/main/java/vetchrill/capture/Capture.java
@@ -215,7 +215,7 @@
     private void check(int row) {
         boolean right = group[row] >= 0 && group[row] < facts.groupNames.size() && customer[row] >= 0
                 && customer[row] < Math.max(1, facts.customerNames.size()) && heard[row] >= arrived[row]
-                && took[row] >= 0 && answer[row] >= Recorder.COMPLETED && answer[row] <= Recorder.LEFT
+                && took[row] >= 0 && answer[row] >= Recorder.COMPLETED && answer[row] <= Recorder.DISCONNECTED
                 && answered[row] >= arrived[row] && kb[row] > 0 && bytes[row] >= 0
                 && (begun[row] == 0 || begun[row] >= heard[row]);
         if (!right) {
--- a/lab/src/main/java/vetchrill/capture/CaptureWriter.java
+++ b/lab/src/main/java/vetchrill/capture/CaptureWriter.java
@@ -35,8 +35,8 @@
     private final Map<String, String> provenance;
     private final SpscArrayQueue<ExchangeRow> emptyExchanges;
     private final SpscArrayQueue<ExchangeRow> exchanges;
-    private final SpscArrayQueue<LookRow> emptyLooks;
-    private final SpscArrayQueue<LookRow> looks;
+    private final SpscArrayQueue<GaugeRow> emptyLooks;
+    private final SpscArrayQueue<GaugeRow> looks;
     private final ThreadLocal<Mac> mac;
     private final RootAllocator memory = new RootAllocator(256L << 20);
     private final VectorSchemaRoot exchangeRows;
@@ -69,7 +69,7 @@
             emptyExchanges.offer(new ExchangeRow());
         }
         for (int i = 0; i < 256; i++) {
-            emptyLooks.offer(new LookRow());
+            emptyLooks.offer(new GaugeRow());
         }
         mac = ThreadLocal.withInitial(this::keyed);
         exchangeRows = VectorSchemaRoot.create(Parts.schema(Parts.EXCHANGES, this.provenance), memory);
@@ -104,7 +104,7 @@
     // On the decision thread.
 
     @Override
-    public ExchangeRow claimExchange() {
+    public ExchangeRow claimExchangeRow() {
         ExchangeRow row = emptyExchanges.relaxedPoll();
         if (row == null) {
             lost++;
@@ -118,12 +118,12 @@
     }
 
     @Override
-    public LookRow claimLook() {
+    public GaugeRow claimGaugeRow() {
         return emptyLooks.relaxedPoll();
     }
 
     @Override
-    public void put(LookRow row) {
+    public void put(GaugeRow row) {
         looks.offer(row);
     }
 
@@ -167,7 +167,7 @@
                 flush();
             }
         }
-        for (LookRow row = looks.relaxedPoll(); row != null; row = looks.relaxedPoll()) {
+        for (GaugeRow row = looks.relaxedPoll(); row != null; row = looks.relaxedPoll()) {
             fill(row);
             emptyLooks.offer(row);
             any = true;
@@ -180,8 +180,10 @@
 
     private void fill(ExchangeRow row) {
         int at = exchangeCount;
-        long[] values = {row.arrived, row.heard - row.arrived, row.group, row.customer, row.stub, row.subject, 0,
-            row.bytes, row.begun, row.took, row.answered, row.answer, row.away, row.giveUp ? 1 : 0};
+        long[] values = {row.arrivedAt, row.dequeuedAt - row.arrivedAt, row.group, row.customer, row.stubNumber,
+                row.subject, 0,
+            row.bytes, row.startedAt, row.runDuration, row.answeredAt, row.answerKind, row.retryAfter,
+            row.doNotRetry ? 1 : 0};
         for (int i = 0; i < values.length; i++) {
             FieldVector column = exchangeRows.getVector(i);
             if (i == 6) {
@@ -192,9 +194,9 @@
         }
     }
 
-    private void fill(LookRow row) {
+    private void fill(GaugeRow row) {
         double[] values = {0, row.cpu, row.runnable, row.memory, row.connections, row.open, row.running};
-        Parts.set(lookRows.getVector(0), lookCount, row.at);
+        Parts.set(lookRows.getVector(0), lookCount, row.sampledAt);
         for (int i = 1; i < values.length; i++) {
             Parts.set(lookRows.getVector(i), lookCount, values[i]);
         }
--- a/lab/src/main/java/vetchrill/model/SimRelay.java
+++ b/lab/src/main/java/vetchrill/model/SimRelay.java
@@ -160,7 +160,7 @@
             if (each.stub.number == stub) {
                 answered(each, Asking.Answer.RESET, 0, false, now);
                 if (each.heard) {
-                    controller.callerLeft(each, now);
+                    controller.onCallerDisconnected(each, now);
                 }
             }
         }
@@ -176,7 +176,7 @@
         leaving = true;
         drainFrom = now;
         lastAnswer = now;
-        controller.leave(stopAt, now);
+        controller.startDrain(stopAt, now);
         decide(now);
     }
 
@@ -193,10 +193,10 @@
 
     /** A try reaches the machine: it is read before anything can be decided on it. */
     void arrive(Try ex, long now) {
-        ex.arrived = now;
+        ex.arrivedAt = now;
         ex.group = groups.get(ex.asking.group);
         ex.customer = ex.asking.customer;
-        ex.kb = ex.asking.kb;
+        ex.sizeKb = ex.asking.kb;
         ex.at = open.size();
         open.add(ex);
         double work = kind.reading();
@@ -249,14 +249,14 @@
             case READ -> read(ex, now);
             case BEFORE_CALL -> {
                 running--;
-                controller.wantsCall(ex, now);
+                controller.onCallRequested(ex, now);
             }
             default -> {
                 running--;
                 ex.completed = true;
                 memoryKb -= ex.booked;
                 ex.booked = 0;
-                controller.finished(ex, Outcome.COMPLETED, now - ex.begunAt, now);
+                controller.onRunEnded(ex, Outcome.COMPLETED, now - ex.begunAt, now);
                 answered(ex, Asking.Answer.COMPLETED, 0, false, now);
             }
         }
@@ -269,14 +269,14 @@
             return;
         }
         ex.heard = true;
-        ex.booked = ex.kb;
+        ex.booked = ex.sizeKb;
         memoryKb += ex.booked;
         if (ex.group.effect == EndpointGroup.Effect.DEDUPLICATED) {
             Try prior = known.get(ex.asking);
             ex.repeat = prior != null;
-            ex.prior = prior;
+            ex.original = prior;
         }
-        controller.arrived(ex, now);
+        controller.onArrival(ex, now);
     }
 
     /** The answer goes out, once. What is over is no longer in the relay. */
@@ -336,7 +336,7 @@
         if (!up) {
             return;
         }
-        controller.gauges(cpu, cores.size(), connections, now);
+        controller.onTick(cpu, cores.size(), connections, now);
         decide(now);
     }
 
@@ -402,7 +402,7 @@
         Try each = mine(ex);
         long now = world.events.now();
         running++;
-        double growth = each.kb * (world.fleet.rules.runGrowth() - 1);
+        double growth = each.sizeKb * (world.fleet.rules.runGrowth() - 1);
         each.booked += growth;
         memoryKb += growth;
         each.begunAt = now;
@@ -412,7 +412,7 @@
     }
 
     @Override
-    public void deny(Exchange ex, long away, boolean giveUp) {
+    public void reject(Exchange ex, long away, boolean giveUp) {
         Try each = mine(ex);
         memoryKb -= each.booked;
         each.booked = 0;
@@ -444,10 +444,10 @@
 
     /** The end of a call, told to the module; with its result the run goes on. */
     void callEnded(Try ex, Outcome outcome, long took, long now) {
-        if (ex.life != life || ex.over()) {
+        if (ex.life != life || ex.isFinished()) {
             return;
         }
-        controller.callEnded(ex, outcome, took, now);
+        controller.onCallEnded(ex, outcome, took, now);
         if (outcome == Outcome.COMPLETED) {
             goOn(ex, now);
         }
@@ -460,14 +460,14 @@
     }
 
     @Override
-    public void leaveOut(Exchange ex) {
+    public void skipCall(Exchange ex) {
         goOn(mine(ex), world.events.now());
     }
 
     @Override
     public void replay(Exchange ex) {
         Try each = mine(ex);
-        Try prior = (Try) each.prior;
+        Try prior = (Try) each.original;
         if (prior != null && prior.at >= 0) {
             prior.repeats = prior.repeats == null ? new ArrayList<>() : prior.repeats;
             prior.repeats.add(each);
@@ -479,38 +479,38 @@
     private void endReplay(Try repeat, boolean completed, long now) {
         memoryKb -= repeat.booked;
         repeat.booked = 0;
-        controller.finished(repeat, completed ? Outcome.COMPLETED : Outcome.ERRORED, 0, now);
+        controller.onRunEnded(repeat, completed ? Outcome.COMPLETED : Outcome.ERRORED, 0, now);
         answered(repeat, completed ? Asking.Answer.COMPLETED : Asking.Answer.TERMINATED, 0, false, now);
     }
 
     @Override
-    public void remember(Exchange ex, long span) {
+    public void storeDedupKey(Exchange ex, long span) {
         known.put(mine(ex).asking, mine(ex));
     }
 
     @Override
-    public void forget(Exchange ex) {
+    public void dropDedupKey(Exchange ex) {
         known.remove(mine(ex).asking, mine(ex));
     }
 
     @Override
-    public void health(boolean good) {
+    public void setHealth(boolean good) {
         healthy = good;
         world.health(this, good);
     }
 
     @Override
-    public void say(double value) {
+    public void publishLoadHint(double value) {
         throw new IllegalStateException("no free value is sent in this fleet");
     }
 
     @Override
-    public void idleTime(long span) {
+    public void setIdleTime(long span) {
         idleTime = span;
     }
 
     @Override
-    public void wakeIn(long span) {
+    public void scheduleTick(long span) {
         world.events.add(world.events.now() + span, new Look(life));
     }
 }
--- a/lab/src/main/java/vetchrill/model/World.java
+++ b/lab/src/main/java/vetchrill/model/World.java
@@ -398,7 +398,7 @@
     void call(SimRelay relay, SimRelay.Try ex, long until) {
         long now = events.now();
         if (fleet.tier == null || callsInHand >= fleet.tier.slots()) {
-            at(now + fleet.network.within(), then -> relay.callEnded(ex, Outcome.FULL, then - now, then));
+            at(now + fleet.network.within(), then -> relay.callEnded(ex, Outcome.CALLEE_SATURATED, then - now, then));
             return;
         }
         callsInHand++;
@@ -411,6 +411,6 @@
         at(now + takes, then -> callsInHand--);
         boolean inTime = now + takes <= until;
         at(inTime ? now + takes : until,
-                then -> relay.callEnded(ex, inTime ? Outcome.COMPLETED : Outcome.GIVEN_UP, then - now, then));
+                then -> relay.callEnded(ex, inTime ? Outcome.COMPLETED : Outcome.TIMED_OUT, then - now, then));
     }
 }
--- a/lab/src/main/java/vetchrill/peering/Beside.java
+++ b/lab/src/main/java/vetchrill/peering/Beside.java
@@ -6,22 +6,22 @@
 import java.security.SecureRandom;
 import java.util.function.LongSupplier;
 import sun.misc.Signal;
-import vetchrill.audit.AuditTerms;
+import vetchrill.audit.AuditConfig;
 import vetchrill.audit.AuditWriter;
-import vetchrill.audit.HybridTime;
-import vetchrill.peers.Agreement;
-import vetchrill.peers.Peering;
-import vetchrill.peers.Store;
-import vetchrill.program.Serve;
+import vetchrill.audit.HybridLogicalClock;
+import vetchrill.peers.VersionService;
+import vetchrill.peers.PeerService;
+import vetchrill.peers.InstanceStore;
+import vetchrill.program.InstanceRunner;
 import vetchrill.protocol.DeploymentReader;
-import vetchrill.routing.Chain;
+import vetchrill.routing.ProcessingChain;
 import vetchrill.routing.Clock;
 import vetchrill.transport.Limits;
 import vetchrill.versions.Digests;
 import vetchrill.versions.Version;
 
 /** What an instance has beside its chain where an operator's file says so: peers, versions, the record. */
-public final class Beside implements Serve.Beside {
+public final class Beside implements InstanceRunner.Extension {
     /** What peers may take: some hundred connections, and words that wait. */
     private static final long PEER_MEMORY = 64L << 20;
     private static final int PEER_DESCRIPTORS = 512;
@@ -33,16 +33,16 @@
     private final Rigged rigged;
     /** The digest of the program; empty where nothing asks for it. */
     private final String text;
-    private final HybridTime time;
+    private final HybridLogicalClock time;
     private final SecureRandom chance = new SecureRandom();
     private final long nonce = chance.nextLong() & Long.MAX_VALUE;
     public final Clock clock;
     /** Null where no record is kept. */
     public final AuditWriter audit;
-    private Peering peering;
+    private PeerService peering;
 
     /** {@code rigged} is null outside of a rig; {@code told} is what the instance is told at its start. */
-    public Beside(String name, JsonNode told, PeersOrder peers, VersionsOrder.Order versions, AuditTerms audit,
+    public Beside(String name, JsonNode told, PeersOrder peers, VersionsOrder.Order versions, AuditConfig audit,
             Path rigged) throws IOException {
         this.name = name;
         this.peers = peers;
@@ -50,7 +50,7 @@
         this.rigged = new Rigged(rigged);
         settings = told.path("settings");
         text = versions == null && audit == null ? "" : Program.text();
-        time = new HybridTime(this.rigged::millis);
+        time = new HybridLogicalClock(this.rigged::millis);
         clock = rigged == null ? new Clock() : new Clock(this.rigged::tenths, System::nanoTime);
         this.audit = audit == null ? null : new AuditWriter(audit, name, nonce, "zone "
                 + (peers == null ? "" : peers.zone) + " text " + text + " policy " + Program.policy()
@@ -59,40 +59,40 @@
     }
 
     @Override
-    public void begin(Chain chain) throws IOException {
+    public void start(ProcessingChain chain) throws IOException {
         if (peers == null) {
             return;
         }
         LongSupplier tenths = clock::now;
-        Agreement agreement = versions == null ? null : new Agreement(versions.terms(), name, peers.zone,
-                text, nonce, new Store(rigged.disk(versions.directory()), name, versions.bound()),
+        VersionService agreement = versions == null ? null : new VersionService(versions.terms(), name, peers.zone,
+                text, nonce, new InstanceStore(rigged.disk(versions.directory()), name, versions.bound()),
                 chance.nextLong(), tenths, time, audit, new Held(chain));
         // Another process under its name ends this one as the notice to leave does: nothing that is held is lost.
-        peering = new Peering(peers.pace, name, peers.zone, peers.listen, peers.others, nonce, chance.nextLong(),
+        peering = new PeerService(peers.pace, name, peers.zone, peers.listen, peers.others, nonce, chance.nextLong(),
                 new Limits(PEER_MEMORY, PEER_DESCRIPTORS), tenths, () -> Signal.raise(new Signal("TERM")), agreement);
         peering.start();
     }
 
     @Override
-    public void end() {
+    public void stop() {
         if (peering != null) {
             peering.leave();
         }
     }
 
     /** The instance as versions change it. */
-    private final class Held implements Agreement.Instance {
-        private final Chain chain;
+    private final class Held implements VersionService.ManagedInstance {
+        private final ProcessingChain chain;
 
-        Held(Chain chain) {
+        Held(ProcessingChain chain) {
             this.chain = chain;
         }
 
         @Override
-        public String tryOut(byte[] content) {
+        public String validate(byte[] content) {
             try {
                 JsonNode other = DeploymentReader.JSON.readTree(content);
-                String wrong = DeploymentReader.notRetold(settings, other);
+                String wrong = DeploymentReader.reloadObstacle(settings, other);
                 if (wrong == null) {
                     new DeploymentReader(other);
                 }
@@ -103,17 +103,17 @@
         }
 
         @Override
-        public void take(Version version, byte[] content) {
+        public void activate(Version version, byte[] content) {
             try {
-                chain.take(version.number(), new DeploymentReader(DeploymentReader.JSON.readTree(content)));
+                chain.activateVersion(version.number(), new DeploymentReader(DeploymentReader.JSON.readTree(content)));
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
         }
 
         @Override
-        public void lease(long floor, long until) {
-            chain.leased(floor, until);
+        public void updateLease(long floor, long until) {
+            chain.updateLease(floor, until);
         }
     }
 }
--- a/lab/src/main/java/vetchrill/peering/PeersOrder.java
+++ b/lab/src/main/java/vetchrill/peering/PeersOrder.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import vetchrill.hcl.Block;
-import vetchrill.members.Pace;
+import vetchrill.members.MembershipConfig;
 
 /** What an operator's file says of the other instances, in its block {@code peers}. */
 public final class PeersOrder {
@@ -14,7 +14,7 @@
     /** The only address on which peers are listened to. */
     public final InetSocketAddress listen;
     public final Map<String, InetSocketAddress> others = new TreeMap<>();
-    public final Pace pace;
+    public final MembershipConfig pace;
 
     private PeersOrder(Block block) {
         zone = block.word("zone", "");
@@ -30,8 +30,9 @@
             block.mistake("sync_ms", "should be period_ms or more");
             sync = period;
         }
-        pace = new Pace(Math.round(period * 10), Math.round(answer * 10), Pace.USUAL.helpers(), Pace.USUAL.patience(),
-                Pace.USUAL.alone(), Math.round(sync * 10));
+        pace = new MembershipConfig(Math.round(period * 10), Math.round(answer * 10),
+                MembershipConfig.DEFAULT.indirectProbes(), MembershipConfig.DEFAULT.suspicionMultiplier(),
+                MembershipConfig.DEFAULT.maxSuspicionFactor(), Math.round(sync * 10));
         for (Block peer : block.blocks("peer")) {
             if (others.put(peer.label(), address(peer, "address")) != null) {
                 peer.mistake("address", "is of a peer named a second time");
--- a/lab/src/main/java/vetchrill/peering/Rigged.java
+++ b/lab/src/main/java/vetchrill/peering/Rigged.java
@@ -90,7 +90,7 @@
 
     /** The disk of what must not be forgotten, as the rig has it. */
     public Disk disk(Path folder) throws IOException {
-        FolderDisk held = FolderDisk.held(folder);
+        FolderDisk held = FolderDisk.openLocked(folder);
         if (file == null) {
             return held;
         }
@@ -116,15 +116,15 @@
         if (full && bytes.remaining() > 1) {
             // As a disk does that fills up: a part of it is there.
             ByteBuffer part = bytes.slice(bytes.position(), bytes.remaining() / 2);
-            AuditWriter.PLAIN.write(to, part);
+            AuditWriter.FILE_SYSTEM.write(to, part);
         }
         before();
-        AuditWriter.PLAIN.write(to, bytes);
+        AuditWriter.FILE_SYSTEM.write(to, bytes);
     }
 
     @Override
     public void sync(FileChannel of) throws IOException {
         before();
-        AuditWriter.PLAIN.sync(of);
+        AuditWriter.FILE_SYSTEM.sync(of);
     }
 }
--- a/lab/src/main/java/vetchrill/peering/VersionsOrder.java
+++ b/lab/src/main/java/vetchrill/peering/VersionsOrder.java
@@ -3,9 +3,9 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import vetchrill.audit.AuditTerms;
+import vetchrill.audit.AuditConfig;
 import vetchrill.hcl.Block;
-import vetchrill.versions.Terms;
+import vetchrill.versions.VersionsConfig;
 
 /** What an operator's file says of versions and of the record, in its blocks {@code versions} and {@code audit}. */
 public final class VersionsOrder {
@@ -13,7 +13,7 @@
     }
 
     /** What is agreed on, where it is kept, and in how many octets at most. */
-    public record Order(Terms terms, Path directory, long bound) {
+    public record Order(VersionsConfig terms, Path directory, long bound) {
     }
 
     /** Null where the file has no such block, or it is off. Mistakes are noted in the file and told by its check. */
@@ -51,12 +51,13 @@
             block.mistake("keepers", "should be the names of 1, 3, 5 or 7 instances, the same in every file");
             keepers = List.of(name);
         }
-        return on ? new Order(new Terms(new ArrayList<>(peers.others.keySet()), keepers, Math.round(lease * 10),
+        return on
+                ? new Order(new VersionsConfig(new ArrayList<>(peers.others.keySet()), keepers, Math.round(lease * 10),
                 Math.round(every * 10), Math.round(behind * 10), serves), directory, (long) (store * (1 << 20))) : null;
     }
 
     /** Null where the file has no such block, or it is off. */
-    public static AuditTerms audit(Block root) {
+    public static AuditConfig audit(Block root) {
         if (!root.hasBlock("audit")) {
             return null;
         }
@@ -69,7 +70,7 @@
         if (most < 2 * segment) {
             block.mistake("most_mb", "should be twice segment_mb or more");
         }
-        return block.flag("on", true) ? new AuditTerms(directory, ring, Math.round(flush * 10),
+        return block.flag("on", true) ? new AuditConfig(directory, ring, Math.round(flush * 10),
                 (long) (segment * (1 << 20)), (long) (most * (1 << 20))) : null;
     }
 }
--- a/lab/src/main/java/vetchrill/peersim/MembersWorld.java
+++ b/lab/src/main/java/vetchrill/peersim/MembersWorld.java
@@ -5,15 +5,16 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import vetchrill.members.Members;
-import vetchrill.members.News;
-import vetchrill.members.News.State;
-import vetchrill.members.Pace;
-import vetchrill.members.Word;
-import vetchrill.peers.Words;
+import vetchrill.members.SwimMembership;
+import vetchrill.members.MemberInfo;
+import vetchrill.members.MemberInfo.State;
+import vetchrill.members.MembershipConfig;
+import vetchrill.members.MembershipMessage;
+import vetchrill.peers.MembershipMessageCodec;
 
 /**
- * A fleet of instances that hear each other, on a clock that is only counted: the text of {@link Members} itself, or
+ * A fleet of instances that hear each other, on a clock that is only counted: the text of {@link SwimMembership}
+ * itself, or
  * the plain heartbeats that it is held against, over a network that loses, delays, doubles and is cut one way, with
  * processes that stop, stand still and come back. All is drawn from one seed.
  */
@@ -22,9 +23,9 @@
     interface Watch {
         void time(long now);
 
-        void heard(Word word);
+        void heard(MembershipMessage word);
 
-        boolean next(Members.Host host);
+        boolean next(SwimMembership.Host host);
 
         long wakeAt();
     }
@@ -35,15 +36,15 @@
         final int place;
         final long nonce;
         final Watch watch;
-        public final Members members;
+        public final SwimMembership members;
         boolean up = true;
         boolean left;
         boolean replaced;
         private long replacedBy;
         long pausedUntil;
         private long wakeNumber;
-        private final ArrayDeque<Word> waiting = new ArrayDeque<>();
-        private final Map<String, News> seen = new HashMap<>();
+        private final ArrayDeque<MembershipMessage> waiting = new ArrayDeque<>();
+        private final Map<String, MemberInfo> seen = new HashMap<>();
 
         Process(int place, long life) {
             this.place = place;
@@ -53,21 +54,21 @@
                 members = null;
                 watch = new Heartbeats(pace, name, names, nonce, now());
             } else {
-                members = new Members(pace, name, "", life, nonce, names, chance.nextLong(), now());
+                members = new SwimMembership(pace, name, "", life, nonce, names, chance.nextLong(), now());
                 watch = new Watch() {
                     @Override
                     public void time(long now) {
-                        members.time(now);
+                        members.advanceTime(now);
                     }
 
                     @Override
-                    public void heard(Word word) {
-                        members.heard(word);
+                    public void heard(MembershipMessage word) {
+                        members.receive(word);
                     }
 
                     @Override
-                    public boolean next(Members.Host host) {
-                        return members.next(host);
+                    public boolean next(SwimMembership.Host host) {
+                        return members.processNext(host);
                     }
 
                     @Override
@@ -83,7 +84,7 @@
         }
     }
 
-    private final Pace pace;
+    private final MembershipConfig pace;
     private final boolean plain;
     private final List<String> names = new ArrayList<>();
     /** The processes of each place, the last one last. */
@@ -97,7 +98,7 @@
     public final List<Long> detected = new ArrayList<>();
     private final Map<Process, Long> downSince = new HashMap<>();
 
-    public MembersWorld(int size, Pace pace, boolean plain, long seed) {
+    public MembersWorld(int size, MembershipConfig pace, boolean plain, long seed) {
         super(seed);
         this.pace = pace;
         this.plain = plain;
@@ -156,7 +157,7 @@
             process.left = true;
             process.members.leave();
             pump(process);
-            at(now() + 4 * pace.period(), () -> process.up = false);
+            at(now() + 4 * pace.probePeriod(), () -> process.up = false);
         }
         faulty();
     }
@@ -170,8 +171,8 @@
 
     // The network and the owners.
 
-    private void send(Process from, String to, long nonce, Word word) {
-        bytes += Words.write(word).length;
+    private void send(Process from, String to, long nonce, MembershipMessage word) {
+        bytes += MembershipMessageCodec.encode(word).length;
         int place = names.indexOf(to);
         if (place < 0) {
             throw new Broken("a word goes to a name that nobody has");
@@ -185,7 +186,7 @@
         carry(from.place, place, () -> arrive(there, word));
     }
 
-    private void arrive(Process to, Word word) {
+    private void arrive(Process to, MembershipMessage word) {
         if (!to.up) {
             return;
         }
@@ -201,19 +202,19 @@
         while (!process.waiting.isEmpty()) {
             process.watch.heard(process.waiting.poll());
         }
-        Members.Host host = new Members.Host() {
+        SwimMembership.Host host = new SwimMembership.Host() {
             @Override
-            public void send(String to, long nonce, Word word) {
+            public void send(String to, long nonce, MembershipMessage word) {
                 MembersWorld.this.send(process, to, nonce, word);
             }
 
             @Override
-            public void changed(News now, State was) {
+            public void stateChanged(MemberInfo now, State was) {
                 MembersWorld.this.changed(process, now, was);
             }
 
             @Override
-            public void replaced(News by) {
+            public void replaced(MemberInfo by) {
                 process.replaced = true;
                 process.replacedBy = by.nonce();
             }
@@ -234,11 +235,11 @@
         }
     }
 
-    private void changed(Process process, News news, State was) {
-        News before = process.seen.put(news.name(), news);
-        if (before != null && (news.life() < before.life()
-                || news.life() == before.life() && news.nonce() < before.nonce()
-                || news.sameLife(before) && news.turn() < before.turn())) {
+    private void changed(Process process, MemberInfo news, State was) {
+        MemberInfo before = process.seen.put(news.name(), news);
+        if (before != null && (news.incarnation() < before.incarnation()
+                || news.incarnation() == before.incarnation() && news.nonce() < before.nonce()
+                || news.isSameProcess(before) && news.refutations() < before.refutations())) {
             throw new Broken("what is held of a name goes back");
         }
         Process of = null;
@@ -248,7 +249,7 @@
         if (of == null) {
             throw new Broken("a life is held that nobody lived");
         }
-        boolean well = of.live() && !of.left && now() > of.pausedUntil + 4 * pace.period();
+        boolean well = of.live() && !of.left && now() > of.pausedUntil + 4 * pace.probePeriod();
         if (news.state() == State.DEAD && of.up && well) {
             falseDeaths++;
         } else if (news.state() == State.SUSPECTED && of.up && well) {
@@ -282,13 +283,13 @@
             if (!viewer.live() || viewer.left) {
                 continue;
             }
-            for (News news : viewer.members.others()) {
+            for (MemberInfo news : viewer.members.others()) {
                 Process of = last(names.indexOf(news.name()));
                 if (of.live() && !of.left) {
                     if (news.state() != State.ALIVE) {
                         throw new Broken("one that lives is not held alive");
                     }
-                    if (news.nonce() != of.nonce || news.life() != of.members.self().life()) {
+                    if (news.nonce() != of.nonce || news.incarnation() != of.members.self().incarnation()) {
                         throw new Broken("another life is held of one that lives");
                     }
                 } else if (news.state() == State.ALIVE || news.state() == State.SUSPECTED) {
@@ -300,6 +301,6 @@
 
     /** When the last fault is over for everybody: syncs with those that are held dead, and a verdict on each. */
     public long settles() {
-        return lastFault + 40 * pace.sync();
+        return lastFault + 40 * pace.syncPeriod();
     }
 }
--- a/lab/src/main/java/vetchrill/peersim/VersionsWalk.java
+++ b/lab/src/main/java/vetchrill/peersim/VersionsWalk.java
@@ -105,9 +105,9 @@
     private static String seen(VersionsWorld world) {
         StringBuilder state = new StringBuilder();
         for (VersionsWorld.Process each : world.processes) {
-            state.append(each.up).append(each.versions.takenNumber()).append(each.versions.floor())
-                    .append(each.versions.confirmed()).append(each.versions.barred())
-                    .append(each.versions.standing().able()).append(each.versions.keepers()).append(' ');
+            state.append(each.up).append(each.versions.activeNumber()).append(each.versions.minVersion())
+                    .append(each.versions.confirmedMinVersion()).append(each.versions.isFenced())
+                    .append(each.versions.status().canVote()).append(each.versions.promises()).append(' ');
         }
         return state.toString();
     }
--- a/lab/src/main/java/vetchrill/peersim/VersionsWorld.java
+++ b/lab/src/main/java/vetchrill/peersim/VersionsWorld.java
@@ -8,19 +8,20 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import vetchrill.peers.Store;
+import vetchrill.peers.InstanceStore;
 import vetchrill.powerloss.LosingDisk;
 import vetchrill.powerloss.MemoryMedia;
-import vetchrill.store.Journal;
+import vetchrill.store.DurableStore;
 import vetchrill.versions.Digests;
-import vetchrill.versions.Memory;
-import vetchrill.versions.Saying;
-import vetchrill.versions.Terms;
+import vetchrill.versions.DurableState;
+import vetchrill.versions.VersionMessage;
+import vetchrill.versions.VersionsConfig;
 import vetchrill.versions.Version;
-import vetchrill.versions.Versions;
+import vetchrill.versions.VersionManager;
 
 /**
- * A fleet that agrees on versions, on a counted clock: the text of {@link Versions} itself, over a network and disks
+ * A fleet that agrees on versions, on a counted clock: the text of {@link VersionManager} itself, over a network and
+ * disks
  * that go wrong. What must hold is checked after each step by what this class sees from outside: when a floor was first
  * confirmed to anybody, until when each process may begin what, and what each took in which order.
  */
@@ -33,12 +34,12 @@
     public final class Process {
         final int place;
         final long nonce = ++nonces;
-        public final Versions versions;
+        public final VersionManager versions;
         public boolean up = true;
         long pausedUntil;
         private long wakeNumber;
         private boolean pumping;
-        private final ArrayDeque<Saying> waiting = new ArrayDeque<>();
+        private final ArrayDeque<VersionMessage> waiting = new ArrayDeque<>();
         long taken;
         long floor;
         long until = Long.MIN_VALUE;
@@ -47,10 +48,11 @@
 
         Process(int place) {
             this.place = place;
-            Memory memory = media == null ? disks[place] : opened(place);
+            DurableState memory = media == null ? disks[place] : opened(place);
             disks[place] = memory;
-            taken = memory == null || memory.taken() == null ? 0 : memory.taken().number();
-            versions = new Versions(terms(place), name(place), zone(place), place % 7 == 6 ? OTHER_TEXT : TEXT, nonce,
+            taken = memory == null || memory.activeVersion() == null ? 0 : memory.activeVersion().number();
+            versions = new VersionManager(terms(place), name(place), zone(place), place % 7 == 6 ? OTHER_TEXT : TEXT,
+                    nonce,
                     memory, chance.nextLong(), now());
         }
     }
@@ -65,14 +67,14 @@
     private final int zones;
     private final long lease;
     private final long every;
-    private final Memory[] disks;
+    private final DurableState[] disks;
     /** What each place has of media where stores are played as they are, else null; and the store of its process. */
     private final MemoryMedia[] media;
     private final LosingDisk[] losing;
-    private final Journal[] journals;
+    private final DurableStore[] journals;
     private final byte[][] contentThere;
     /** What was told to be on the disk of that place, by which its memory must not be lower as it returns. */
-    private final Memory[] acknowledged;
+    private final DurableState[] acknowledged;
     /** The disk of that place is not what it was: what it holds is no promise. */
     private final boolean[] doubted;
     private final boolean[] toBeTold;
@@ -120,9 +122,9 @@
         super(seed);
         media = stores ? new MemoryMedia[size] : null;
         losing = new LosingDisk[size];
-        journals = new Journal[size];
+        journals = new DurableStore[size];
         contentThere = new byte[size][];
-        acknowledged = new Memory[size];
+        acknowledged = new DurableState[size];
         doubted = new boolean[size];
         toBeTold = new boolean[size];
         mustTell = new boolean[size];
@@ -131,7 +133,7 @@
         this.zones = zones;
         this.lease = lease;
         this.every = every;
-        disks = new Memory[size];
+        disks = new DurableState[size];
         full = new boolean[size];
         slow = new long[size];
         ghosts = new Process[size];
@@ -153,7 +155,7 @@
     }
 
     /** What the store of that place holds as its process starts. */
-    private Memory opened(int place) {
+    private DurableState opened(int place) {
         try {
             losing[place] = new LosingDisk(media[place], chance.split(), 0.3, call -> {
                 if (full[place]) {
@@ -163,9 +165,10 @@
                     throw new PowerLost();
                 }
             });
-            journals[place] = new Journal(losing[place], name(place), STORE);
+            journals[place] = new DurableStore(losing[place], name(place), STORE);
             contentThere[place] = null;
-            Memory memory = Store.memory(name(place), journals[place].found(), journals[place].facts());
+            DurableState memory = InstanceStore.recoveredState(name(place), journals[place].outcome(),
+                    journals[place].entries());
             promised(place, memory);
             acknowledged[place] = memory;
             return memory;
@@ -175,20 +178,22 @@
     }
 
     /** Nothing that binds goes back on a disk that is what it was. */
-    private void promised(int place, Memory memory) {
-        Memory told = acknowledged[place];
-        boolean apart = journals[place].found().compareTo(Journal.Found.TORN) > 0;
+    private void promised(int place, DurableState memory) {
+        DurableState told = acknowledged[place];
+        boolean apart = journals[place].outcome().compareTo(DurableStore.RecoveryOutcome.TORN) > 0;
         if (doubted[place]) {
             tellsApart(place, apart);
             return;
         }
         if (apart) {
-            throw new Broken("a store that is whole is held to be " + journals[place].found() + ": "
-                    + journals[place].why());
-        }
-        if (told != null && (memory == null || memory.count() < told.count() || memory.floor() < told.floor()
-                || memory.life() < told.life() || number(memory) < number(told) || told.able() && !memory.able()
-                && memory.count() == told.count())) {
+            throw new Broken("a store that is whole is held to be " + journals[place].outcome() + ": "
+                    + journals[place].problem());
+        }
+        if (told != null
+                && (memory == null || memory.revision() < told.revision() || memory.minVersion() < told.minVersion()
+                || memory.incarnation() < told.incarnation() || number(memory) < number(told) || told.intact()
+                && !memory.intact()
+                && memory.revision() == told.revision())) {
             throw new Broken(name(place) + " was told that " + told + " is kept, and has " + memory);
         }
     }
@@ -200,20 +205,20 @@
         }
     }
 
-    private static long number(Memory memory) {
-        return memory.taken() == null ? 0 : memory.taken().number();
+    private static long number(DurableState memory) {
+        return memory.activeVersion() == null ? 0 : memory.activeVersion().number();
     }
 
     /** Throws IOException where it can't be kept. */
-    private void commit(int place, Memory memory) throws IOException {
-        Memory before = acknowledged[place];
-        if (before != null && memory.count() <= before.count() && (memory.floor() > before.floor()
-                || memory.life() > before.life() || number(memory) > number(before))) {
+    private void commit(int place, DurableState memory) throws IOException {
+        DurableState before = acknowledged[place];
+        if (before != null && memory.revision() <= before.revision() && (memory.minVersion() > before.minVersion()
+                || memory.incarnation() > before.incarnation() || number(memory) > number(before))) {
             throw new Broken(name(place) + " keeps what binds under the count of before");
         }
-        journals[place].commit(Store.changes(memory, contentThere[place]), true);
+        journals[place].commit(InstanceStore.changesFor(memory, contentThere[place]), true);
         doubted[place] = false;
-        contentThere[place] = memory.content();
+        contentThere[place] = memory.activeContent();
         acknowledged[place] = memory;
     }
 
@@ -272,10 +277,10 @@
 
     /** All other keepers have on their disks how far that one has come: else an older disk is not promised to show. */
     private boolean remembered(int place) {
-        long count = acknowledged[place] == null ? 0 : acknowledged[place].count();
+        long count = acknowledged[place] == null ? 0 : acknowledged[place].revision();
         for (int i = 0; i < keepers; i++) {
-            if (i != place && (acknowledged[i] == null || acknowledged[i].seen().stream().noneMatch(each ->
-                    each.name().equals(name(place)) && each.count() >= count))) {
+            if (i != place && (acknowledged[i] == null || acknowledged[i].peerRevisions().stream().noneMatch(each ->
+                    each.name().equals(name(place)) && each.revision() >= count))) {
                 return false;
             }
         }
@@ -304,7 +309,7 @@
         if (processes[place].up) {
             kill(place);
         }
-        long count = acknowledged[place] == null ? 0 : acknowledged[place].count();
+        long count = acknowledged[place] == null ? 0 : acknowledged[place].revision();
         act.run();
         damaged++;
         doubted[place] = true;
@@ -312,7 +317,7 @@
         acknowledged[place] = null;
         start(place);
         // Its start and its being taught bring it on by some, which must not hide that it was behind.
-        long now = acknowledged[place] == null ? 0 : acknowledged[place].count();
+        long now = acknowledged[place] == null ? 0 : acknowledged[place].revision();
         mustTell[place] = place < keepers && now + 3 < count && now > 0;
         return true;
     }
@@ -325,7 +330,7 @@
         return "z" + place % zones;
     }
 
-    private Terms terms(int place) {
+    private VersionsConfig terms(int place) {
         List<String> others = new ArrayList<>();
         List<String> kept = new ArrayList<>();
         for (int i = 0; i < size; i++) {
@@ -336,7 +341,7 @@
                 kept.add(name(i));
             }
         }
-        return new Terms(others, kept, lease, every, 20 * every, false);
+        return new VersionsConfig(others, kept, lease, every, 20 * every, false);
     }
 
     // What goes wrong, and what is ordered.
@@ -366,7 +371,7 @@
      * It comes back without its disk. A keeper only while more than half of them remember all that they promised: past
      * that nothing is promised.
      */
-    public boolean loseDisk(int place, Memory instead) {
+    public boolean loseDisk(int place, DurableState instead) {
         if (!mayForget(place)) {
             return false;
         }
@@ -404,7 +409,7 @@
         faulty();
     }
 
-    public Memory disk(int place) {
+    public DurableState disk(int place) {
         return disks[place];
     }
 
@@ -447,7 +452,7 @@
             return "not up";
         }
         Version version = new Version(number, name(place), Digests.of(content), content.length, text, stages, hold);
-        at.versions.time(now());
+        at.versions.advanceTime(now());
         String wrong = at.versions.publish(version, content);
         if (wrong == null) {
             published.computeIfAbsent(number, any -> new ArrayList<>()).add(new Published(version, content, at));
@@ -463,8 +468,8 @@
         if (!at.up || now() < at.pausedUntil) {
             return "not up";
         }
-        at.versions.time(now());
-        String wrong = at.versions.floor(number);
+        at.versions.advanceTime(now());
+        String wrong = at.versions.minVersion(number);
         faulty();
         pump(at);
         return wrong;
@@ -488,16 +493,16 @@
             return;
         }
         process.pumping = true;
-        process.versions.time(now());
+        process.versions.advanceTime(now());
         if (fare != null) {
             long[] counts = fare.of(process.place, process.taken, now());
-            process.versions.counted(counts[0], counts[1], counts[2], counts[3]);
+            process.versions.updateCounters(counts[0], counts[1], counts[2], counts[3]);
         }
         while (!process.waiting.isEmpty()) {
-            process.versions.heard(process.waiting.poll());
+            process.versions.receive(process.waiting.poll());
         }
         int acts = 0;
-        while (process.versions.next(host(process))) {
+        while (process.versions.processNext(host(process))) {
             steps++;
             if (++acts > MOST_STEPS) {
                 throw new Broken("an instance never comes to an end of what it does");
@@ -513,16 +518,16 @@
         });
     }
 
-    private Versions.Host host(Process process) {
-        return new Versions.Host() {
+    private VersionManager.Host host(Process process) {
+        return new VersionManager.Host() {
             @Override
-            public void send(String to, Saying saying) {
+            public void send(String to, VersionMessage saying) {
                 int place = Integer.parseInt(to.substring(1));
                 if (place == process.place || place >= size) {
                     throw new Broken("a word goes to a name that nobody else has");
                 }
-                if (media != null && saying.standing().count() > (acknowledged[process.place] == null ? 0
-                        : acknowledged[process.place].count())) {
+                if (media != null && saying.status().revision() > (acknowledged[process.place] == null ? 0
+                        : acknowledged[process.place].revision())) {
                     throw new Broken(name(process.place) + " tells of a memory that is not on its disk");
                 }
                 sayings++;
@@ -537,12 +542,12 @@
             }
 
             @Override
-            public void keep(Memory memory) {
+            public void persist(DurableState memory) {
                 long takes = 1 + chance.nextLong(100) + (slow[process.place] > 0
                         ? slow[process.place] / 2 + chance.nextLong(slow[process.place] / 2 + 1) : 0);
                 at(now() + takes, () -> {
                     if (ghosts[process.place] == process && process.up) {
-                        process.versions.kept(true);
+                        process.versions.onPersisted(true);
                         pump(process);
                         return;
                     }
@@ -555,35 +560,35 @@
                         return;
                     }
                     if (full[process.place]) {
-                        process.versions.kept(false);
+                        process.versions.onPersisted(false);
                     } else {
                         disks[process.place] = memory;
-                        forgetful[process.place] &= !(memory.able() && process.versions.standing().able());
-                        process.versions.kept(true);
+                        forgetful[process.place] &= !(memory.intact() && process.versions.status().canVote());
+                        process.versions.onPersisted(true);
                     }
                     pump(process);
                 });
             }
 
             @Override
-            public void tryOut(Version version, byte[] content) {
+            public void validate(Version version, byte[] content) {
                 if (!Digests.of(content).equals(version.digest())) {
                     throw new Broken("a content is tried that is not what was published");
                 }
                 at(now() + 1, () -> {
-                    process.versions.tried(version.number(), content.length > 0 && content[0] == process.place + 1
+                    process.versions.onValidated(version.number(), content.length > 0 && content[0] == process.place + 1
                             ? "not on this machine" : null);
                     pump(process);
                 });
             }
 
             @Override
-            public void take(Version version, byte[] content) {
+            public void activate(Version version, byte[] content) {
                 took(process, version, content);
             }
 
             @Override
-            public void lease(long taken, long floor, long until) {
+            public void updateLease(long taken, long floor, long until) {
                 process.floor = floor;
                 process.until = until;
                 if (taken != process.taken) {
@@ -593,9 +598,9 @@
             }
 
             @Override
-            public void tell(Versions.Event event, String of, long version, String text) {
-                tellsApart(process.place, event == Versions.Event.OLDER);
-                if (event == Versions.Event.FORK) {
+            public void report(VersionManager.Event event, String of, long version, String text) {
+                tellsApart(process.place, event == VersionManager.Event.OLDER);
+                if (event == VersionManager.Event.FORK) {
                     process.forks.add(version);
                 }
                 told.add(now() + " " + name(process.place) + " " + event + " " + of + " " + version + " " + text);
@@ -603,7 +608,7 @@
         };
     }
 
-    private void store(Process process, Memory memory) {
+    private void store(Process process, DurableState memory) {
         int place = process.place;
         if (!process.up || processes[place] != process) {
             return;
@@ -611,10 +616,10 @@
         try {
             commit(place, memory);
             disks[place] = memory;
-            forgetful[place] &= !(memory.able() && process.versions.standing().able());
-            process.versions.kept(true);
+            forgetful[place] &= !(memory.intact() && process.versions.status().canVote());
+            process.versions.onPersisted(true);
         } catch (IOException e) {
-            process.versions.kept(false);
+            process.versions.onPersisted(false);
         } catch (PowerLost e) {
             loseAll(0);
             return;
@@ -629,22 +634,22 @@
     }
 
     /** A way that changes octets: nothing that is kept by a digest may suffer from it. */
-    private Saying spoil(Saying saying) {
-        if (spoilt == 0 || saying.kind() != Saying.Kind.PIECE || saying.piece().bytes().length == 0
+    private VersionMessage spoil(VersionMessage saying) {
+        if (spoilt == 0 || saying.kind() != VersionMessage.Kind.PIECE || saying.chunk().bytes().length == 0
                 || chance.nextDouble() >= spoilt) {
             return saying;
         }
-        byte[] other = saying.piece().bytes().clone();
+        byte[] other = saying.chunk().bytes().clone();
         other[chance.nextInt(other.length)] ^= 1;
-        return new Saying(saying.kind(), saying.from(), saying.zone(), saying.nonce(), saying.number(),
-                saying.ofYou(), saying.news(), saying.standing(),
-                new Saying.Piece(saying.piece().digest(), saying.piece().at(), other));
+        return new VersionMessage(saying.kind(), saying.sender(), saying.zone(), saying.nonce(), saying.requestId(),
+                saying.recipientRevision(), saying.state(), saying.status(),
+                new VersionMessage.Chunk(saying.chunk().digest(), saying.chunk().offset(), other));
     }
 
     /** As many octets as it has in CBOR, near enough for a sum. */
-    private static long size(Saying saying) {
-        return 90 + 130L * saying.news().versions().size() + 14L * saying.news().keepers().size()
-                + (saying.piece() == null ? 0 : 70 + saying.piece().bytes().length);
+    private static long size(VersionMessage saying) {
+        return 90 + 130L * saying.state().versions().size() + 14L * saying.state().promises().size()
+                + (saying.chunk() == null ? 0 : 70 + saying.chunk().bytes().length);
     }
 
     private void took(Process process, Version version, byte[] content) {
@@ -659,14 +664,15 @@
         if (content.length > 0 && content[0] == process.place + 1) {
             throw new Broken("a version is taken that is refused here");
         }
-        if (!version.text().isEmpty() && !version.text().equals(process.place % 7 == 6 ? OTHER_TEXT : TEXT)) {
+        if (!version.programDigest().isEmpty() && !version.programDigest()
+                .equals(process.place % 7 == 6 ? OTHER_TEXT : TEXT)) {
             throw new Broken("a version is taken that is for another program");
         }
         if (process.forks.contains(version.number())) {
             throw new Broken("a version is taken that is known to be a fork");
         }
-        Memory disk = disks[process.place];
-        boolean kept = disk != null && disk.taken() != null && disk.taken().equals(version);
+        DurableState disk = disks[process.place];
+        boolean kept = disk != null && disk.activeVersion() != null && disk.activeVersion().equals(version);
         if (ghosts[process.place] != process && !kept) {
             throw new Broken("a version is taken that is not on the disk");
         }
@@ -679,7 +685,7 @@
     // What must hold.
 
     private void confirmed(Process process) {
-        long floor = process.versions.confirmed();
+        long floor = process.versions.confirmedMinVersion();
         if (floor > confirmed) {
             confirmed = floor;
             confirmedAt.put(floor, now());
@@ -717,13 +723,13 @@
     public void settled() {
         long highest = 0;
         for (Process each : processes) {
-            highest = Math.max(highest, each.versions.floor());
+            highest = Math.max(highest, each.versions.minVersion());
         }
         for (Process each : processes) {
-            if (each.versions.floor() != highest) {
+            if (each.versions.minVersion() != highest) {
                 throw new Broken(name(each.place) + " does not know of the floor " + highest);
             }
-            if (each.versions.confirmed() != highest) {
+            if (each.versions.confirmedMinVersion() != highest) {
                 throw new Broken("the floor " + highest + " is confirmed by nobody to " + name(each.place));
             }
             if (each.versions.leaseUntil() <= now()) {
@@ -732,9 +738,9 @@
         }
         Map<Long, List<Object>> held = new HashMap<>();
         for (Process each : processes) {
-            for (Saying.Noted noted : each.versions.versions()) {
+            for (VersionMessage.KnownVersion noted : each.versions.versions()) {
                 List<Object> other = held.putIfAbsent(noted.version().number(), whatIs(noted.version()));
-                if (other != null && !other.equals(whatIs(noted.version())) && noted.stopped().isEmpty()) {
+                if (other != null && !other.equals(whatIs(noted.version())) && noted.stopReason().isEmpty()) {
                     throw new Broken("two versions are held under the number " + noted.version().number());
                 }
             }
@@ -762,14 +768,14 @@
             boolean stopped = false;
             for (Process process : processes) {
                 stopped |= process.versions.versions().stream()
-                        .anyMatch(noted -> noted.version().number() == number && !noted.stopped().isEmpty());
+                        .anyMatch(noted -> noted.version().number() == number && !noted.stopReason().isEmpty());
             }
             boolean held = processes[place].versions.versions().stream()
                     .anyMatch(noted -> noted.version().number() == number);
             boolean had = Arrays.stream(processes).anyMatch(process -> process.taken == number
                     || each.getValue().stream().anyMatch(one -> one.by == process));
             boolean refused = first.content.length > 0 && first.content[0] == place + 1
-                    || !first.version.text().isEmpty() && !first.version.text().equals(text);
+                    || !first.version.programDigest().isEmpty() && !first.version.programDigest().equals(text);
             // Of two under one number the first may have gone with its publisher: nobody has to take the other.
             if (each.getValue().stream().map(one -> whatIs(one.version)).distinct().count() == 1
                     && !stopped && held && had && !refused && whole(first.version)) {
@@ -781,12 +787,12 @@
 
     /** Two that differ in any of it are two, though they have one number and one content. */
     private static List<Object> whatIs(Version version) {
-        return List.of(version.digest(), version.text(), version.stages(), version.hold());
+        return List.of(version.digest(), version.programDigest(), version.stages(), version.stageInterval());
     }
 
     private static boolean whole(Version version) {
         return version.stages().stream().anyMatch(stage -> stage.zone().isEmpty() && stage.share() == 1)
-                && version.hold() == 0;
+                && version.stageInterval() == 0;
     }
 
     /** When the last fault is over for everybody. */
--- a/lab/src/main/java/vetchrill/powerloss/FolderMedia.java
+++ b/lab/src/main/java/vetchrill/powerloss/FolderMedia.java
@@ -21,12 +21,12 @@
 
     @Override
     public List<String> names() throws IOException {
-        return disk.names();
+        return disk.fileNames();
     }
 
     @Override
     public byte[] read(String name) throws IOException {
-        return disk.read(name);
+        return disk.readFile(name);
     }
 
     @Override
--- a/lab/src/main/java/vetchrill/powerloss/LosingDisk.java
+++ b/lab/src/main/java/vetchrill/powerloss/LosingDisk.java
@@ -60,12 +60,12 @@
     }
 
     @Override
-    public List<String> names() {
+    public List<String> fileNames() {
         return List.copyOf(nodes.keySet());
     }
 
     @Override
-    public byte[] read(String name) throws IOException {
+    public byte[] readFile(String name) throws IOException {
         Node node = nodes.get(name);
         if (node == null) {
             throw new java.io.FileNotFoundException(name);
@@ -74,7 +74,7 @@
     }
 
     @Override
-    public Out create(String name) throws IOException {
+    public AppendFile create(String name) throws IOException {
         points.at("create");
         Node node = new Node();
         nodes.put(name, node);
@@ -83,7 +83,7 @@
             node.named = name;
             to.write(name, 0, node.bytes, 0, node.durable);
         });
-        return new Out() {
+        return new AppendFile() {
             @Override
             public void write(byte[] bytes) throws IOException {
                 try {
@@ -180,7 +180,7 @@
     }
 
     @Override
-    public void syncNames() throws IOException {
+    public void syncDirectory() throws IOException {
         points.at("names");
         for (NameAct each : unsynced) {
             each.on(media);
--- a/lab/src/main/java/vetchrill/standin/AuditPlay.java
+++ b/lab/src/main/java/vetchrill/standin/AuditPlay.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.concurrent.ConcurrentHashMap;
-import vetchrill.audit.Row;
+import vetchrill.audit.AuditEvent;
 import vetchrill.auditing.Fleetwide;
 import vetchrill.auditing.History;
 import vetchrill.standin.AuditRig.Answered;
@@ -239,12 +239,12 @@
     public static void judge(AuditRig rig, Outcome outcome) throws IOException {
         Fleetwide fleet = new Fleetwide(rig.records());
         Map<At, Long> begun = new ConcurrentHashMap<>();
-        Map<At, Row> over = new ConcurrentHashMap<>();
+        Map<At, AuditEvent> over = new ConcurrentHashMap<>();
         fleet.read((history, row) -> {
             At key = new At(Integer.parseInt(history.name.substring(1)), row.id());
-            if (row.kind() == Row.Kind.BEGUN) {
+            if (row.kind() == AuditEvent.Kind.BEGUN) {
                 begun.put(key, row.version());
-            } else if (row.kind() == Row.Kind.OVER) {
+            } else if (row.kind() == AuditEvent.Kind.OVER) {
                 over.put(key, row);
             }
         });
@@ -271,7 +271,7 @@
                 continue;
             }
             outcome.exchanges++;
-            Row row = over.get(new At(each.place(), each.id()));
+            AuditEvent row = over.get(new At(each.place(), each.id()));
             if (row == null) {
                 missing(rig, each.place(), each.atNanos(), leftOut, last, missing, outcome);
             } else if (each.code() == StubFrames.COMPLETED && AuditRig.narrow(row.version())
--- a/lab/src/main/java/vetchrill/standin/AuditRig.java
+++ b/lab/src/main/java/vetchrill/standin/AuditRig.java
@@ -22,10 +22,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
-import vetchrill.audit.Segments;
+import vetchrill.audit.AuditSegments;
 import vetchrill.files.Folders;
 import vetchrill.peering.Program;
-import vetchrill.peers.PeerStatus;
+import vetchrill.peers.PeerClient;
 import vetchrill.protocol.DeploymentReader;
 
 /**
@@ -309,7 +309,7 @@
     /** Of one that is killed: the last octets of its record never came to the disk. */
     public void tear(int place) throws IOException {
         faults++;
-        List<Path> files = Segments.in(home(place).resolve("audit"));
+        List<Path> files = AuditSegments.filesIn(home(place).resolve("audit"));
         if (!files.isEmpty()) {
             try (FileChannel channel = FileChannel.open(files.get(files.size() - 1), StandardOpenOption.WRITE)) {
                 channel.truncate(Math.max(0, channel.size() - 7));
@@ -398,7 +398,7 @@
     // What is ordered and asked.
 
     public JsonNode order(int place, ObjectNode order) throws IOException {
-        return DeploymentReader.JSON.readTree(PeerStatus.order(loopback(peerPorts[place]),
+        return DeploymentReader.JSON.readTree(PeerClient.sendOrder(loopback(peerPorts[place]),
                 order.toString().getBytes(StandardCharsets.UTF_8)));
     }
 
--- a/lab/src/main/java/vetchrill/standin/Membership.java
+++ b/lab/src/main/java/vetchrill/standin/Membership.java
@@ -43,7 +43,7 @@
                             .getBytes(StandardCharsets.US_ASCII);
                     for (int from = 0; from < answer.length; from += slowly > 0 ? 1 : answer.length) {
                         socket.getOutputStream().write(answer, from, slowly > 0 ? 1 : answer.length);
-                        Resources.pause(10L * slowly);
+                        Resources.sleep(10L * slowly);
                     }
                 }
             }
--- a/lab/src/main/java/vetchrill/tool/AuditCommand.java
+++ b/lab/src/main/java/vetchrill/tool/AuditCommand.java
@@ -11,8 +11,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import vetchrill.audit.HybridTime;
-import vetchrill.audit.Row;
+import vetchrill.audit.HybridLogicalClock;
+import vetchrill.audit.AuditEvent;
 import vetchrill.auditing.AuditColumns;
 import vetchrill.auditing.AuditPage;
 import vetchrill.auditing.Fleetwide;
@@ -31,7 +31,7 @@
     }
 
     private static String when(long hybrid) {
-        return Instant.ofEpochMilli(HybridTime.millis(hybrid)).toString();
+        return Instant.ofEpochMilli(HybridLogicalClock.toMillis(hybrid)).toString();
     }
 
     /** What all of them ask for. */
@@ -66,19 +66,19 @@
 
         /** Of rows as {@code who} and {@code timeline} print them. */
         void told(Fleetwide.Told each) {
-            Row row = each.row();
-            String answer = row.kind() != Row.Kind.OVER ? "" : switch (row.answer()) {
+            AuditEvent row = each.row();
+            String answer = row.kind() != AuditEvent.Kind.OVER ? "" : switch (row.answer()) {
                 case 1 -> " completed";
                 case 2 -> " denied";
                 case 3 -> " terminated";
                 default -> " caller left";
             };
-            line(String.format("%s %-12s life %016x %-8s version %d%s %s %s", when(row.hybrid()), each.name(),
-                    each.life(), row.kind(), row.version(), answer, row.text(), row.more()).stripTrailing(),
-                    "time", when(row.hybrid()), "hybrid", row.hybrid(), "instance", each.name(), "life",
+            line(String.format("%s %-12s life %016x %-8s version %d%s %s %s", when(row.hybridTime()), each.name(),
+                    each.life(), row.kind(), row.version(), answer, row.text(), row.detail()).stripTrailing(),
+                    "time", when(row.hybridTime()), "hybrid", row.hybridTime(), "instance", each.name(), "life",
                     String.format("%016x", each.life()), "kind", row.kind().name(), "id",
                     String.format("%016x", row.id()), "version", row.version(), "answer", answer.strip(), "text",
-                    row.text(), "more", row.more());
+                    row.text(), "more", row.detail());
         }
     }
 
--- a/lab/src/main/java/vetchrill/tool/FleetCommand.java
+++ b/lab/src/main/java/vetchrill/tool/FleetCommand.java
@@ -13,10 +13,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import vetchrill.members.News;
-import vetchrill.members.Word;
+import vetchrill.members.MemberInfo;
+import vetchrill.members.MembershipMessage;
 import vetchrill.peering.PeersOrder;
-import vetchrill.peers.PeerStatus;
+import vetchrill.peers.PeerClient;
 import vetchrill.protocol.DeploymentReader;
 
 @Command(name = "fleet", mixinStandardHelpOptions = true, description = "Speak to instances that hear each other.",
@@ -36,7 +36,7 @@
             if (at == null) {
                 throw new BadUse("ADDRESS is " + address + ", " + PeersOrder.ADDRESS);
             }
-            return DeploymentReader.JSON.readTree(PeerStatus.order(at, order.toString().getBytes(
+            return DeploymentReader.JSON.readTree(PeerClient.sendOrder(at, order.toString().getBytes(
                     StandardCharsets.UTF_8)));
         }
 
@@ -177,20 +177,21 @@
             if (at == null) {
                 throw new BadUse("ADDRESS is " + address + ", " + PeersOrder.ADDRESS);
             }
-            Word word = PeerStatus.of(at);
+            MembershipMessage word = PeerClient.queryMembership(at);
             System.out.printf("%-20s %-10s %5s %5s  %s%n", "name", "state", "life", "turn", "by");
-            line(word.from());
-            word.news().stream().sorted(Comparator.comparing(News::name)).forEach(StatusCommand::line);
-            if (word.number() > 0) {
-                System.out.println(word.from().name() + " distrusts itself by " + word.number()
+            line(word.sender());
+            word.updates().stream().sorted(Comparator.comparing(MemberInfo::name)).forEach(StatusCommand::line);
+            if (word.sequenceNumber() > 0) {
+                System.out.println(word.sender().name() + " distrusts itself by " + word.sequenceNumber()
                         + " of 8: it was slow or paused of late");
             }
             return 0;
         }
 
-        private static void line(News news) {
-            System.out.printf("%-20s %-10s %5d %5d  %s%n", news.name(), news.state(), news.life(), news.turn(),
-                    news.by());
+        private static void line(MemberInfo news) {
+            System.out.printf("%-20s %-10s %5d %5d  %s%n", news.name(), news.state(), news.incarnation(),
+                    news.refutations(),
+                    news.reportedBy());
         }
     }
 }
--- a/lab/src/main/java/vetchrill/tool/MembersCommand.java
+++ b/lab/src/main/java/vetchrill/tool/MembersCommand.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.Callable;
 import java.util.stream.IntStream;
 import picocli.CommandLine.Command;
-import vetchrill.members.Pace;
+import vetchrill.members.MembershipConfig;
 import vetchrill.peersim.MembersWorld;
 
 /** What membership is worth: how soon a death is known, who is wrongly held dead, and what it costs to know. */
@@ -54,7 +54,7 @@
     /** One death in each play, a third in; those who live should all come to know it. */
     private Outcome play(int size, Case each, boolean plain) {
         List<Outcome> all = IntStream.range(0, seeds).parallel().mapToObj(i -> {
-            MembersWorld world = new MembersWorld(size, Pace.USUAL, plain, first + i);
+            MembersWorld world = new MembersWorld(size, MembershipConfig.DEFAULT, plain, first + i);
             world.until(SETTLED);
             world.loss = each.loss();
             long bytes = world.bytes;
--- a/lab/src/main/java/vetchrill/tool/Recorders.java
+++ b/lab/src/main/java/vetchrill/tool/Recorders.java
@@ -24,7 +24,7 @@
     }
 
     @Override
-    public ExchangeRow claimExchange() {
+    public ExchangeRow claimExchangeRow() {
         return row;
     }
 
@@ -35,32 +35,32 @@
     }
 
     private static void put(ExchangeRow row, Recorder to) {
-        ExchangeRow its = to.claimExchange();
+        ExchangeRow its = to.claimExchangeRow();
         if (its != null) {
-            its.copy(row);
+            its.copyFrom(row);
             to.put(its);
         }
     }
 
     @Override
-    public void begun(long id, long version, int group, int customer, long at) {
-        first.begun(id, version, group, customer, at);
-        second.begun(id, version, group, customer, at);
+    public void runRequested(long id, long version, int group, int customer, long at) {
+        first.runRequested(id, version, group, customer, at);
+        second.runRequested(id, version, group, customer, at);
     }
 
     @Override
-    public void taken(long version) {
-        first.taken(version);
-        second.taken(version);
+    public void versionActivated(long version) {
+        first.versionActivated(version);
+        second.versionActivated(version);
     }
 
     @Override
-    public LookRow claimLook() {
-        return second.claimLook();
+    public GaugeRow claimGaugeRow() {
+        return second.claimGaugeRow();
     }
 
     @Override
-    public void put(LookRow row) {
+    public void put(GaugeRow row) {
         second.put(row);
     }
 
--- a/lab/src/main/java/vetchrill/tool/ServeCommand.java
+++ b/lab/src/main/java/vetchrill/tool/ServeCommand.java
@@ -9,14 +9,14 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import vetchrill.audit.AuditTerms;
+import vetchrill.audit.AuditConfig;
 import vetchrill.capture.CaptureOrder;
 import vetchrill.capture.CaptureWriter;
 import vetchrill.hcl.Block;
 import vetchrill.peering.Beside;
 import vetchrill.peering.PeersOrder;
 import vetchrill.peering.VersionsOrder;
-import vetchrill.program.Serve;
+import vetchrill.program.InstanceRunner;
 import vetchrill.protocol.DeploymentReader;
 
 @Command(name = "serve", mixinStandardHelpOptions = true,
@@ -34,7 +34,7 @@
     public Integer call() throws IOException {
         System.setProperty(ToolLog.TARGET, "out");
         if (operator == null) {
-            return Serve.run(System.getenv());
+            return InstanceRunner.run(System.getenv());
         }
         JsonNode told = told();
         String name = told == null ? "?" : name(told);
@@ -42,15 +42,15 @@
         CaptureOrder capture = CaptureOrder.in(root);
         PeersOrder peers = PeersOrder.in(root);
         VersionsOrder.Order versions = VersionsOrder.versions(root, peers, name);
-        AuditTerms audit = VersionsOrder.audit(root);
+        AuditConfig audit = VersionsOrder.audit(root);
         root.check();
         if (told == null || !told.path("settings").isObject()) {
             // The start tells what is wrong with it.
-            return Serve.run(System.getenv());
+            return InstanceRunner.run(System.getenv());
         }
         CaptureWriter recorder = capture == null ? null : recorder(capture, told);
         Beside beside = new Beside(name, told, peers, versions, audit, rigged);
-        return Serve.run(System.getenv(), Recorders.both(beside.audit, recorder), beside.clock, beside);
+        return InstanceRunner.run(System.getenv(), Recorders.both(beside.audit, recorder), beside.clock, beside);
     }
 
     private static String name(JsonNode told) {
--- a/lab/src/main/java/vetchrill/tool/Vetchrill.java
+++ b/lab/src/main/java/vetchrill/tool/Vetchrill.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.ScopeType;
 import vetchrill.capture.CaptureFault;
 import vetchrill.hcl.Mistakes;
-import vetchrill.wire.WireFault;
+import vetchrill.wire.WireFormatException;
 
 /** The one command line over the instance and the tools. */
 @Command(name = "vetchrill", mixinStandardHelpOptions = true, version = "vetchrill 0.1.0",
@@ -60,7 +60,7 @@
                 line.getErr().println("vetchrill: " + e.getMessage() + ": no such file");
                 return BAD;
             }
-            if (e instanceof WireFault) {
+            if (e instanceof WireFormatException) {
                 line.getErr().println("vetchrill: " + oneLine(e.getMessage()));
                 return 1;
             }
--- a/lab/src/test/java/vetchrill/StandIns.java
+++ b/lab/src/test/java/vetchrill/InstanceRig.java
@@ -20,8 +20,8 @@
 import vetchrill.standin.StubFrames;
 
 /** The parties that an instance speaks to, on loopback ports that the system chooses, and the instance itself. */
-public final class StandIns implements Closeable {
-    private static final int PATIENCE_S = 30;
+public final class InstanceRig implements Closeable {
+    private static final int TIMEOUT_S = 30;
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
     /** Times long enough that a slow machine makes no exchange late; a story that waits for one shortens them. */
     private static final String SETTINGS = "{\"categories\":["
@@ -33,23 +33,23 @@
             + "\"guarantees\":{\"fallMultiple\":8,\"stopSendingWithinMs\":500},"
             + "\"limits\":{\"maxRetryAfterMs\":1000}}";
 
-    public final Interpreter interpreter = new Interpreter();
-    public final Members members = new Members();
+    public final FakeInterpreter interpreter = new FakeInterpreter();
+    public final FakeMembership membership = new FakeMembership();
     public final List<String> log = new ArrayList<>();
     /** Replaced in the configuration before the start. */
-    public final Map<String, String> instead = new TreeMap<>();
+    public final Map<String, String> replacements = new TreeMap<>();
     public int port;
-    private final List<Closeable> open = new ArrayList<>();
+    private final List<Closeable> openStubs = new ArrayList<>();
     private Process process;
-    private Path file;
+    private Path configFile;
 
-    public StandIns() throws IOException {
+    public InstanceRig() throws IOException {
         port = Ports.free();
     }
 
-    public static <T> T soon(BlockingQueue<T> queue, String what) {
+    public static <T> T awaitNext(BlockingQueue<T> queue, String what) {
         try {
-            T got = queue.poll(PATIENCE_S, TimeUnit.SECONDS);
+            T got = queue.poll(TIMEOUT_S, TimeUnit.SECONDS);
             if (got == null) {
                 throw new AssertionError("never came: " + what);
             }
@@ -59,34 +59,34 @@
         }
     }
 
-    private String configuration(int interpreter, Members members) {
-        String text = "{\"name\":\"n1\",\"listen\":\"127.0.0.1:" + port + "\",\"vm\":\"127.0.0.1:" + interpreter
-                + "\",\"members\":\"127.0.0.1:" + members.port() + "\",\"seed\":\"8c1f30d27a5be964\","
+    private String configuration(int interpreterPort, FakeMembership membership) {
+        String text = "{\"name\":\"n1\",\"listen\":\"127.0.0.1:" + port + "\",\"vm\":\"127.0.0.1:" + interpreterPort
+                + "\",\"members\":\"127.0.0.1:" + membership.port() + "\",\"seed\":\"8c1f30d27a5be964\","
                 + "\"stop_ms\":5000,\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":64},\"settings\":"
                 + SETTINGS + "}";
-        for (Map.Entry<String, String> change : instead.entrySet()) {
+        for (Map.Entry<String, String> change : replacements.entrySet()) {
             text = text.replace(change.getKey(), change.getValue());
         }
         return text;
     }
 
     /** Replaces the configuration by one with these addresses, and says so to the process. */
-    public void replace(Interpreter interpreter, Members members) throws IOException {
-        replace(configuration(interpreter.port(), members));
+    public void replaceConfiguration(FakeInterpreter interpreter, FakeMembership membership) throws IOException {
+        replaceConfiguration(configuration(interpreter.port(), membership));
     }
 
     /** The same for an interpreter that is to be found at a port of the test's own. */
-    public void replace(int interpreter) throws IOException {
-        replace(configuration(interpreter, members));
+    public void replaceConfiguration(int interpreter) throws IOException {
+        replaceConfiguration(configuration(interpreter, membership));
     }
 
-    public void replace(String text) throws IOException {
-        Files.writeString(file, text);
+    public void replaceConfiguration(String text) throws IOException {
+        Files.writeString(configFile, text);
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start();
     }
 
     /** Starts the program as a process of its own and does not wait for it. */
-    public StandIns start() throws IOException {
+    public InstanceRig start() throws IOException {
         String path = System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"));
         // As the deployed command does: whoever starts the tests may ignore SIGHUP, and their verdict is the same.
         return start(new ProcessBuilder("env", "--default-signal=HUP,TERM",
@@ -95,10 +95,10 @@
     }
 
     /** The same by another command. */
-    public StandIns start(ProcessBuilder builder) throws IOException {
-        file = Files.createTempFile("vetchrill", ".json");
-        Files.writeString(file, configuration(interpreter.port(), members));
-        builder.environment().put("GW_CONFIG", file.toString());
+    public InstanceRig start(ProcessBuilder builder) throws IOException {
+        configFile = Files.createTempFile("vetchrill", ".json");
+        Files.writeString(configFile, configuration(interpreter.port(), membership));
+        builder.environment().put("GW_CONFIG", configFile.toString());
         builder.environment().put("VETCHRILL_LOG", "DEBUG");
         builder.environment().remove("GW_NAME");
         builder.environment().remove("GW_LISTEN");
@@ -121,9 +121,9 @@
     }
 
     /** Starts it and waits until it reports that it is well. */
-    public StandIns up() throws IOException {
+    public InstanceRig startHealthy() throws IOException {
         start();
-        if (!soon(members.phases, "a report").equals("UP")) {
+        if (!awaitNext(membership.phases, "a report").equals("UP")) {
             throw new AssertionError("not well from the start");
         }
         return this;
@@ -142,36 +142,36 @@
         new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
     }
 
-    public int exit() throws InterruptedException {
-        if (!process.waitFor(PATIENCE_S, TimeUnit.SECONDS)) {
+    public int awaitExit() throws InterruptedException {
+        if (!process.waitFor(TIMEOUT_S, TimeUnit.SECONDS)) {
             throw new AssertionError("never ended");
         }
         return process.exitValue();
     }
 
-    public boolean alive() {
+    public boolean isAlive() {
         return process.isAlive();
     }
 
-    public String logged() {
+    public String logText() {
         synchronized (log) {
             return String.join("\n", log);
         }
     }
 
-    public void untilLogged(String part) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
-        while (!logged().contains(part)) {
-            if (System.nanoTime() > end) {
-                throw new AssertionError("never logged: " + part + "\n" + logged());
+    public void awaitLog(String part) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
+        while (!logText().contains(part)) {
+            if (System.nanoTime() > deadlineNanos) {
+                throw new AssertionError("never logged: " + part + "\n" + logText());
             }
             Thread.sleep(20);
         }
     }
 
-    public Stub stub() throws IOException {
-        Stub stub = new Stub(port);
-        open.add(stub);
+    public StubClient connectStub() throws IOException {
+        StubClient stub = new StubClient(port);
+        openStubs.add(stub);
         return stub;
     }
 
@@ -179,30 +179,30 @@
     public void close() throws IOException {
         if (process != null) {
             process.destroyForcibly();
-            Files.delete(file);
+            Files.delete(configFile);
         }
-        for (Closeable each : open) {
+        for (Closeable each : openStubs) {
             each.close();
         }
-        interpreter.it.close();
-        members.it.close();
+        interpreter.fake.close();
+        membership.fake.close();
     }
 
     /** The lab's interpreter, whose runs are answered by the test. */
-    public static final class Interpreter {
+    public static final class FakeInterpreter {
         /** APPLY and CONNECT as they came, the body after the line. */
         public final BlockingQueue<String> commands = new LinkedBlockingQueue<>();
-        public volatile boolean silent;
+        public volatile boolean withholdsGauges;
         public volatile boolean withholdsBanner;
         public volatile String gauges = "0.5 1 0.1 1";
-        final vetchrill.standin.Interpreter it;
+        final vetchrill.standin.Interpreter fake;
 
-        Interpreter() throws IOException {
-            it = new vetchrill.standin.Interpreter(work(), false);
+        FakeInterpreter() throws IOException {
+            fake = new vetchrill.standin.Interpreter(work(), false);
         }
 
-        private Interpreter(vetchrill.standin.Interpreter from) throws IOException {
-            it = from.moved(work());
+        private FakeInterpreter(vetchrill.standin.Interpreter from) throws IOException {
+            fake = from.moved(work());
         }
 
         private vetchrill.standin.Interpreter.Work work() {
@@ -215,7 +215,7 @@
 
                 @Override
                 public String gauges() {
-                    return silent ? null : gauges;
+                    return withholdsGauges ? null : gauges;
                 }
 
                 @Override
@@ -227,57 +227,57 @@
         }
 
         /** The same interpreter at another address: its notices and their numbers carry on. */
-        public Interpreter moved() throws IOException {
-            return new Interpreter(it);
+        public FakeInterpreter moveToNewPort() throws IOException {
+            return new FakeInterpreter(fake);
         }
 
         public int port() {
-            return it.port();
+            return fake.port();
         }
 
         public void banner(int after) throws IOException {
-            it.banner(after);
+            fake.banner(after);
         }
 
         /** Tells how a run ended; kept while there is no link. */
-        public void value(String id, String end, String result) {
-            it.value(id, end, 125, result.getBytes(StandardCharsets.ISO_8859_1));
+        public void value(String id, String outcome, String result) {
+            fake.value(id, outcome, 125, result.getBytes(StandardCharsets.ISO_8859_1));
         }
 
         public void write(String text) throws IOException {
-            it.write(text);
+            fake.write(text);
         }
 
-        public void cut() throws IOException {
-            it.cut();
+        public void disconnect() throws IOException {
+            fake.cut();
         }
     }
 
     /** The lab's membership service, with what it was told as the tests want to read it. */
-    public static final class Members {
+    public static final class FakeMembership {
         public final BlockingQueue<String> phases = new LinkedBlockingQueue<>();
-        public final vetchrill.standin.Membership it;
+        public final vetchrill.standin.Membership fake;
 
-        public Members() throws IOException {
-            it = new vetchrill.standin.Membership((name, up, call) ->
+        public FakeMembership() throws IOException {
+            fake = new vetchrill.standin.Membership((name, up, call) ->
                     phases.add(!name.equals("n1") ? call : up ? "UP" : "OUT"));
         }
 
         int port() {
-            return it.port();
+            return fake.port();
         }
 
         /** Skips reports until one of this phase comes. */
-        public void until(String phase) {
-            String got = soon(phases, "a report");
-            while (!got.equals(phase)) {
-                got = soon(phases, "a report " + phase);
+        public void awaitPhase(String phase) {
+            String received = awaitNext(phases, "a report");
+            while (!received.equals(phase)) {
+                received = awaitNext(phases, "a report " + phase);
             }
         }
     }
 
     /** One connection of a client stub. */
-    public static final class Stub implements Closeable {
+    public static final class StubClient implements Closeable {
         public record Frame(int type, int stream, int code, String rest) {
         }
 
@@ -285,10 +285,10 @@
         private final DataOutputStream out;
         private final DataInputStream in;
 
-        Stub(int port) throws IOException {
+        StubClient(int port) throws IOException {
             socket = new Socket(LOOPBACK, port);
             socket.setTcpNoDelay(true);
-            socket.setSoTimeout(PATIENCE_S * 1000);
+            socket.setSoTimeout(TIMEOUT_S * 1000);
             out = new DataOutputStream(socket.getOutputStream());
             in = new DataInputStream(socket.getInputStream());
         }
@@ -307,8 +307,8 @@
         }
 
         /** The same that came to the machine at a time in Unix milliseconds. */
-        public static byte[] exchange(int stream, String group, String id, String body, long cameAt) {
-            return frame(2, stream, payload(body, "method", group, "rid", id, "t0", Long.toString(cameAt),
+        public static byte[] exchange(int stream, String group, String id, String body, long arrivedAtMs) {
+            return frame(2, stream, payload(body, "method", group, "rid", id, "t0", Long.toString(arrivedAtMs),
                     "peer", "4", "acct", "acme", "mem", "24.5",
                     "prio", "0.6250"));
         }
@@ -317,11 +317,11 @@
             out.write(bytes);
         }
 
-        public void ask(int stream, String group, String id, String body) throws IOException {
+        public void sendExchange(int stream, String group, String id, String body) throws IOException {
             send(exchange(stream, group, id, body));
         }
 
-        public int check() throws IOException {
+        public int checkHealth() throws IOException {
             send(frame(16, 1, payload("")));
             Frame frame = read();
             return frame.type == 32 ? frame.code : -1;
--- a/lab/src/test/java/vetchrill/auditing/AuditTest.java
+++ b/lab/src/test/java/vetchrill/auditing/AuditTest.java
@@ -14,10 +14,10 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import vetchrill.audit.AuditTerms;
+import vetchrill.audit.AuditConfig;
 import vetchrill.audit.AuditWriter;
-import vetchrill.audit.HybridTime;
-import vetchrill.audit.Segments;
+import vetchrill.audit.HybridLogicalClock;
+import vetchrill.audit.AuditSegments;
 import vetchrill.routing.Recorder;
 
 /** Records that end in the middle, are changed later, lived twice, or meet a disk that is full. */
@@ -30,31 +30,31 @@
         folder = Files.createTempDirectory("audit");
     }
 
-    private AuditTerms terms(String name) {
-        return new AuditTerms(folder.resolve(name), 1_024, 100, 4_000, 1 << 20);
+    private AuditConfig terms(String name) {
+        return new AuditConfig(folder.resolve(name), 1_024, 100, 4_000, 1 << 20);
     }
 
     private AuditWriter writer(String name) throws IOException {
-        return new AuditWriter(terms(name), name, 7, "a test", new HybridTime(System::currentTimeMillis),
-                AuditWriter.PLAIN);
+        return new AuditWriter(terms(name), name, 7, "a test", new HybridLogicalClock(System::currentTimeMillis),
+                AuditWriter.FILE_SYSTEM);
     }
 
     private static void exchanges(AuditWriter writer, int from, int count) {
         for (int i = from; i < from + count; i++) {
-            writer.begun(i, 3, 0, 0, i);
-            Recorder.ExchangeRow row = writer.claimExchange();
+            writer.runRequested(i, 3, 0, 0, i);
+            Recorder.ExchangeRow row = writer.claimExchangeRow();
             row.id = i;
             row.version = 3;
-            row.answer = Recorder.COMPLETED;
+            row.answerKind = Recorder.COMPLETED;
             writer.put(row);
         }
     }
 
     private static void settle(AuditWriter writer, long block) throws InterruptedException {
-        for (int i = 0; i < 500 && writer.reached().block() < block; i++) {
+        for (int i = 0; i < 500 && writer.position().block() < block; i++) {
             Thread.sleep(10);
         }
-        assertTrue(writer.reached().block() >= block, "it came to " + writer.reached());
+        assertTrue(writer.position().block() >= block, "it came to " + writer.position());
     }
 
     private Fleetwide read() throws IOException {
@@ -68,7 +68,7 @@
     }
 
     private Path last(String name) throws IOException {
-        List<Path> files = Segments.in(folder.resolve(name));
+        List<Path> files = AuditSegments.filesIn(folder.resolve(name));
         return files.get(files.size() - 1);
     }
 
@@ -100,7 +100,7 @@
         exchanges(a, 0, 50);
         settle(a, 0);
         AuditWriter b = writer("b");
-        b.head("a", a.reached().block(), a.reached().digest());
+        b.recordPeerPosition("a", a.position().block(), a.position().digest());
         b.close();
         a.close();
         assertEquals(read().forks(), List.of());
@@ -108,7 +108,7 @@
         bytes[bytes.length / 2] ^= 1;
         Files.write(last("a"), bytes);
         assertTrue(only("a").torn > 0 || !only("a").wrong.isEmpty());
-        for (Path each : Segments.in(folder.resolve("a"))) {
+        for (Path each : AuditSegments.filesIn(folder.resolve("a"))) {
             Files.delete(each);
         }
         AuditWriter again = writer("a");
@@ -128,7 +128,7 @@
         exchanges(a, 5, 5);
         settle(a, 1);
         AuditWriter b = writer("b");
-        b.head("a", a.reached().block(), a.reached().digest());
+        b.recordPeerPosition("a", a.position().block(), a.position().digest());
         b.close();
         a.close();
         try (FileChannel channel = FileChannel.open(last("a"), StandardOpenOption.WRITE)) {
@@ -136,8 +136,8 @@
         }
         assertTrue(read().forks().stream().anyMatch(each -> each.contains("was cut off")), read().forks().toString());
         // The copy goes on by itself, as a second process with the same disk would.
-        AuditWriter twin = new AuditWriter(new AuditTerms(folder.resolve("copy"), 64, 100, 1 << 20, 1 << 24), "a", 8,
-                "a twin", new HybridTime(System::currentTimeMillis), AuditWriter.PLAIN);
+        AuditWriter twin = new AuditWriter(new AuditConfig(folder.resolve("copy"), 64, 100, 1 << 20, 1 << 24), "a", 8,
+                "a twin", new HybridLogicalClock(System::currentTimeMillis), AuditWriter.FILE_SYSTEM);
         exchanges(twin, 90, 5);
         twin.close();
         AuditWriter old = writer("a");
@@ -157,15 +157,16 @@
                     to.write(bytes.slice(0, bytes.remaining() / 2));
                     throw new IOException("No space left on device");
                 }
-                AuditWriter.PLAIN.write(to, bytes);
+                AuditWriter.FILE_SYSTEM.write(to, bytes);
             }
 
             @Override
             public void sync(FileChannel of) throws IOException {
-                AuditWriter.PLAIN.sync(of);
+                AuditWriter.FILE_SYSTEM.sync(of);
             }
         };
-        AuditWriter a = new AuditWriter(terms("a"), "a", 7, "", new HybridTime(System::currentTimeMillis), disk);
+        AuditWriter a = new AuditWriter(terms("a"), "a", 7, "", new HybridLogicalClock(System::currentTimeMillis),
+                disk);
         exchanges(a, 0, 10);
         settle(a, 0);
         full.set(true);
@@ -182,15 +183,15 @@
     }
 
     public void theBoundOnTheDiskHolds() throws Exception {
-        AuditWriter a = new AuditWriter(new AuditTerms(folder.resolve("a"), 8_192, 50, 4_000, 20_000), "a", 7, "",
-                new HybridTime(System::currentTimeMillis), AuditWriter.PLAIN);
+        AuditWriter a = new AuditWriter(new AuditConfig(folder.resolve("a"), 8_192, 50, 4_000, 20_000), "a", 7, "",
+                new HybridLogicalClock(System::currentTimeMillis), AuditWriter.FILE_SYSTEM);
         for (int i = 0; i < 40; i++) {
             exchanges(a, 50 * i, 50);
             settle(a, i);
         }
         a.close();
         long all = 0;
-        for (Path each : Segments.in(folder.resolve("a"))) {
+        for (Path each : AuditSegments.filesIn(folder.resolve("a"))) {
             all += Files.size(each);
         }
         assertTrue(all <= 30_000, all + " octets");
@@ -201,10 +202,10 @@
     /** What was heard is later than what was done before it was said, whatever the clocks say. */
     public void hybridTimeFollowsWhatWasHeard() {
         long[] wall = {1_000_000, 500_000};
-        HybridTime ahead = new HybridTime(() -> wall[0]);
-        HybridTime behind = new HybridTime(() -> wall[1]);
+        HybridLogicalClock ahead = new HybridLogicalClock(() -> wall[0]);
+        HybridLogicalClock behind = new HybridLogicalClock(() -> wall[1]);
         long said = ahead.next();
-        behind.heard(said);
+        behind.observe(said);
         long after = behind.next();
         assertTrue(after > said);
         wall[0] -= 700_000;
--- a/lab/src/test/java/vetchrill/capture/CaptureTest.java
+++ b/lab/src/test/java/vetchrill/capture/CaptureTest.java
@@ -33,18 +33,18 @@
 
     /** One row: a try of {@code subject} that comes at a time and is answered 20 ms later. */
     static void put(CaptureWriter writer, long at, long subject, byte answer) {
-        Recorder.ExchangeRow row = writer.claimExchange();
+        Recorder.ExchangeRow row = writer.claimExchangeRow();
         if (row != null) {
-            row.arrived = at;
-            row.heard = at + 100;
-            row.stub = 1;
+            row.arrivedAt = at;
+            row.dequeuedAt = at + 100;
+            row.stubNumber = 1;
             row.subject = subject;
             row.kb = 20 + subject % 100;
             row.bytes = (int) (subject % 2_000);
-            row.begun = answer == Recorder.COMPLETED ? at + 100 : 0;
-            row.took = answer == Recorder.COMPLETED ? 100 : 0;
-            row.answered = at + 200;
-            row.answer = answer;
+            row.startedAt = answer == Recorder.COMPLETED ? at + 100 : 0;
+            row.runDuration = answer == Recorder.COMPLETED ? 100 : 0;
+            row.answeredAt = at + 200;
+            row.answerKind = answer;
             writer.put(row);
         }
     }
--- a/lab/src/test/java/vetchrill/peering/PeersTest.java
+++ b/lab/src/test/java/vetchrill/peering/PeersTest.java
@@ -19,13 +19,13 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import vetchrill.StandIns;
+import vetchrill.InstanceRig;
 import vetchrill.standin.Between;
 import vetchrill.standin.Ports;
-import vetchrill.members.News;
-import vetchrill.members.News.State;
-import vetchrill.members.Word;
-import vetchrill.peers.PeerStatus;
+import vetchrill.members.MemberInfo;
+import vetchrill.members.MemberInfo.State;
+import vetchrill.members.MembershipMessage;
+import vetchrill.peers.PeerClient;
 
 /** Stories of five real instances that hear each other, with faults between every ordered pair of them. */
 @Test
@@ -37,14 +37,14 @@
     private Path folder;
     private int[] ports;
     private Between[][] ways;
-    private StandIns[] instances;
+    private InstanceRig[] instances;
 
     @BeforeMethod
     public void fiveThatHearEachOther() throws Exception {
         folder = Files.createTempDirectory("peers");
         ports = new int[SIZE];
         ways = new Between[SIZE][SIZE];
-        instances = new StandIns[SIZE];
+        instances = new InstanceRig[SIZE];
         for (int i = 0; i < SIZE; i++) {
             ports[i] = Ports.free();
         }
@@ -77,7 +77,7 @@
         return "r" + i;
     }
 
-    private StandIns start(int i, int port) throws Exception {
+    private InstanceRig start(int i, int port) throws Exception {
         StringBuilder file = new StringBuilder("peers {\n  listen = \"127.0.0.1:" + port
                 + "\"\n  period_ms = 200\n  answer_ms = 80\n  sync_ms = 400\n");
         for (int j = 0; j < SIZE; j++) {
@@ -88,9 +88,9 @@
         }
         Path operator = folder.resolve(name(i) + "-" + port + ".hcl");
         Files.writeString(operator, file.append("}\n").toString());
-        StandIns world = new StandIns();
+        InstanceRig world = new InstanceRig();
         open.add(world);
-        world.instead.put("\"name\":\"n1\"", "\"name\":\"" + name(i) + "\"");
+        world.replacements.put("\"name\":\"n1\"", "\"name\":\"" + name(i) + "\"");
         world.start(new ProcessBuilder(System.getProperty("java.home") + "/bin/java", "-XX:+UseSerialGC",
                 "-XX:TieredStopAtLevel=1", "-Xmx64m", "--add-opens=java.base/java.nio=ALL-UNNAMED", "-cp",
                 System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
@@ -98,17 +98,18 @@
         return world;
     }
 
-    private Map<String, News> held(int i) throws IOException {
-        Map<String, News> held = new TreeMap<>();
-        Word all = PeerStatus.of(new InetSocketAddress(InetAddress.getLoopbackAddress(), ports[i]));
-        held.put(all.from().name(), all.from());
-        all.news().forEach(each -> held.put(each.name(), each));
+    private Map<String, MemberInfo> held(int i) throws IOException {
+        Map<String, MemberInfo> held = new TreeMap<>();
+        MembershipMessage all = PeerClient.queryMembership(new InetSocketAddress(InetAddress.getLoopbackAddress(),
+                ports[i]));
+        held.put(all.sender().name(), all.sender());
+        all.updates().forEach(each -> held.put(each.name(), each));
         return held;
     }
 
-    private void until(int i, Predicate<Map<String, News>> so) throws Exception {
+    private void until(int i, Predicate<Map<String, MemberInfo>> so) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
-        Map<String, News> last = Map.of();
+        Map<String, MemberInfo> last = Map.of();
         while (System.nanoTime() < end) {
             try {
                 last = held(i);
@@ -120,7 +121,7 @@
             }
             Thread.sleep(50);
         }
-        throw new AssertionError(name(i) + " came to hold " + last + "\n" + instances[i].logged());
+        throw new AssertionError(name(i) + " came to hold " + last + "\n" + instances[i].logText());
     }
 
     private void untilAllHold(int of, State state, int... but) throws Exception {
@@ -133,13 +134,13 @@
     }
 
     public void oneThatIsKilledIsHeldDeadByAllAndComesBackInALaterLife() throws Exception {
-        News before = held(0).get(name(1));
+        MemberInfo before = held(0).get(name(1));
         instances[1].kill();
         untilAllHold(1, State.DEAD);
         instances[1] = start(1, ports[1]);
         untilAllHold(1, State.ALIVE);
         for (int i = 0; i < SIZE; i++) {
-            until(i, held -> held.get(name(1)).compareTo(before) > 0 && !held.get(name(1)).sameLife(before));
+            until(i, held -> held.get(name(1)).compareTo(before) > 0 && !held.get(name(1)).isSameProcess(before));
         }
     }
 
@@ -149,8 +150,8 @@
         untilAllHold(2, State.DEAD, 2);
         instances[2].signal("CONT");
         untilAllHold(2, State.ALIVE);
-        until(0, held -> held.get(name(2)).turn() > 0 && held.get(name(2)).life() == 1);
-        assertFalse(instances[2].logged().contains("is DEAD"), instances[2].logged());
+        until(0, held -> held.get(name(2)).refutations() > 0 && held.get(name(2)).incarnation() == 1);
+        assertFalse(instances[2].logText().contains("is DEAD"), instances[2].logText());
     }
 
     /** Two that don't hear each other are heard by the others, whatever one of them makes of it. */
@@ -161,7 +162,7 @@
         }
         Thread.sleep(6_000);
         for (int i = 0; i < SIZE; i++) {
-            assertFalse(instances[i].logged().contains("is DEAD"), instances[i].logged());
+            assertFalse(instances[i].logText().contains("is DEAD"), instances[i].logText());
             until(i, held -> held.values().stream().allMatch(each -> each.state() == State.ALIVE));
         }
     }
@@ -189,18 +190,18 @@
 
     /** The one that had the name goes in its order; whoever comes later has it. */
     public void aSecondProcessUnderANameTakesItFromTheFirst() throws Exception {
-        News before = held(0).get(name(3));
+        MemberInfo before = held(0).get(name(3));
         ports[3] = Ports.free();
-        StandIns second = start(3, ports[3]);
+        InstanceRig second = start(3, ports[3]);
         for (int i = 0; i < SIZE; i++) {
             if (i != 3) {
                 ways[i][3].leadsTo(new InetSocketAddress(InetAddress.getLoopbackAddress(), ports[3]));
             }
         }
-        assertEquals(instances[3].exit(), 0, instances[3].logged());
-        assertTrue(instances[3].logged().contains("another process has the name r3"), instances[3].logged());
-        assertTrue(second.alive());
-        assertFalse(second.logged().contains("another process has the name"), second.logged());
-        until(0, held -> held.get(name(3)).compareTo(before) > 0 && !held.get(name(3)).sameLife(before));
+        assertEquals(instances[3].awaitExit(), 0, instances[3].logText());
+        assertTrue(instances[3].logText().contains("another process has the name r3"), instances[3].logText());
+        assertTrue(second.isAlive());
+        assertFalse(second.logText().contains("another process has the name"), second.logText());
+        until(0, held -> held.get(name(3)).compareTo(before) > 0 && !held.get(name(3)).isSameProcess(before));
     }
 }
--- a/lab/src/test/java/vetchrill/peersim/VersionsTest.java
+++ b/lab/src/test/java/vetchrill/peersim/VersionsTest.java
@@ -39,25 +39,25 @@
         pass(world, 5_000);
         assertNull(world.floor(0, 1));
         pass(world, LEASE + 1_000);
-        assertTrue(world.processes[5].versions.barred());
-        assertEquals(world.processes[5].versions.takenNumber(), 0);
+        assertTrue(world.processes[5].versions.isFenced());
+        assertEquals(world.processes[5].versions.activeNumber(), 0);
         world.heal();
         pass(world, 20_000);
-        assertEquals(world.processes[5].versions.takenNumber(), 1);
-        assertFalse(world.processes[5].versions.barred());
+        assertEquals(world.processes[5].versions.activeNumber(), 1);
+        assertFalse(world.processes[5].versions.isFenced());
     }
 
     /** The only keeper has nobody to ask: it keeps the floor by itself, and all serve. */
     public void oneKeeperServesAndConfirmsByItself() {
         VersionsWorld world = world(3, 1, 9);
         for (VersionsWorld.Process each : world.processes) {
-            assertFalse(each.versions.barred());
+            assertFalse(each.versions.isFenced());
         }
         world.publish(1, 1, content(1), "", ALL, 0);
         pass(world, 10_000);
         assertNull(world.floor(2, 1));
         pass(world, 10_000);
-        assertEquals(world.processes[2].versions.confirmed(), 1);
+        assertEquals(world.processes[2].versions.confirmedMinVersion(), 1);
     }
 
     /** Fewer than half of the keepers confirm nothing, and an instance that hears only those goes on for no longer. */
@@ -68,10 +68,10 @@
         world.part(6, 0b000001);
         assertNull(world.floor(0, 1));
         pass(world, 10_000);
-        assertEquals(world.processes[0].versions.confirmed(), 0);
+        assertEquals(world.processes[0].versions.confirmedMinVersion(), 0);
         pass(world, LEASE);
-        assertTrue(world.processes[0].versions.barred());
-        assertFalse(world.processes[3].versions.barred());
+        assertTrue(world.processes[0].versions.isFenced());
+        assertFalse(world.processes[3].versions.isFenced());
     }
 
     /** The keeper that has promised comes back knowing nothing: it promises nothing before the others have told it. */
@@ -81,15 +81,15 @@
         pass(world, 10_000);
         world.floor(0, 1);
         pass(world, 10_000);
-        assertEquals(world.processes[1].versions.confirmed(), 1);
+        assertEquals(world.processes[1].versions.confirmedMinVersion(), 1);
         assertTrue(world.loseDisk(1, null));
         world.part(5, 1 << 1);
         pass(world, 40_000);
-        assertFalse(world.processes[1].versions.standing().able());
+        assertFalse(world.processes[1].versions.status().canVote());
         world.heal();
         pass(world, 20_000);
-        assertTrue(world.processes[1].versions.standing().able());
-        assertEquals(world.disk(1).floor(), 1);
+        assertTrue(world.processes[1].versions.status().canVote());
+        assertEquals(world.disk(1).minVersion(), 1);
     }
 
     public void twoContentsUnderOneNumberAreFoundAndNeitherIsTakenFurther() {
@@ -100,13 +100,13 @@
         world.heal();
         pass(world, 30_000);
         for (VersionsWorld.Process each : world.processes) {
-            assertFalse(each.versions.versions().get(0).stopped().isEmpty(), "not known to be a fork");
+            assertFalse(each.versions.versions().get(0).stopReason().isEmpty(), "not known to be a fork");
         }
         assertNotNull(world.floor(0, 1));
         assertNull(world.publish(0, 2, content(3), "", ALL, 0));
         pass(world, 30_000);
         for (int i = 0; i < 6; i++) {
-            assertEquals(world.processes[i].versions.takenNumber(), 2);
+            assertEquals(world.processes[i].versions.activeNumber(), 2);
         }
     }
 
@@ -115,16 +115,16 @@
         VersionsWorld world = world(5, 3, 5);
         assertNull(world.publish(0, 1, new byte[] {4, 0}, "", ALL, 0));
         pass(world, 30_000);
-        assertEquals(world.processes[3].versions.takenNumber(), 0);
-        assertFalse(world.processes[3].versions.barred());
-        assertEquals(world.processes[3].versions.standing().why(), "not on this machine");
+        assertEquals(world.processes[3].versions.activeNumber(), 0);
+        assertFalse(world.processes[3].versions.isFenced());
+        assertEquals(world.processes[3].versions.status().rejectReason(), "not on this machine");
         assertNull(world.floor(0, 1));
         pass(world, 20_000);
-        assertTrue(world.processes[3].versions.barred());
+        assertTrue(world.processes[3].versions.isFenced());
         assertNotNull(world.publish(3, 2, content(1), "", ALL, 0));
         assertNull(world.publish(0, 2, content(1), "", ALL, 0));
         pass(world, 30_000);
-        assertFalse(world.processes[3].versions.barred());
+        assertFalse(world.processes[3].versions.isFenced());
     }
 
     /** A tenth of a zone first: whoever took it denies half of its exchanges, and the fleet stops it by itself. */
@@ -138,8 +138,8 @@
         pass(world, 500_000);
         long took = 0;
         for (VersionsWorld.Process each : world.processes) {
-            took += each.versions.takenNumber();
-            assertTrue(each.versions.versions().get(0).stopped().startsWith("denied"),
+            took += each.versions.activeNumber();
+            assertTrue(each.versions.versions().get(0).stopReason().startsWith("denied"),
                     each.versions.versions().toString());
         }
         assertTrue(took > 0 && took < 20, took + " took it");
@@ -156,7 +156,7 @@
         world.publish(0, 1, content(1), "", List.of(new Stage("", 0.2), new Stage("", 1)), 300_000);
         pass(world, 400_000);
         for (VersionsWorld.Process each : world.processes) {
-            assertEquals(each.versions.takenNumber(), each.place % 7 == 6 ? 1 : 1);
+            assertEquals(each.versions.activeNumber(), each.place % 7 == 6 ? 1 : 1);
         }
     }
 
@@ -173,7 +173,7 @@
         world.part(7, 0);
         pass(world, 30_000);
         for (int i = 0; i < 6; i++) {
-            assertEquals(world.processes[i].versions.confirmed(), 1);
+            assertEquals(world.processes[i].versions.confirmedMinVersion(), 1);
         }
     }
 }
--- a/lab/src/test/java/vetchrill/powerloss/JournalTest.java
+++ b/lab/src/test/java/vetchrill/powerloss/JournalTest.java
@@ -13,7 +13,7 @@
 import java.util.TreeMap;
 import org.testng.annotations.Test;
 import vetchrill.store.Change;
-import vetchrill.store.Journal;
+import vetchrill.store.DurableStore;
 
 /** Stories of a store whose power goes, at each of its write points in turn, and whose disk is not what it was. */
 @Test
@@ -22,7 +22,7 @@
         private static final long serialVersionUID = 1;
     }
 
-    private static final long BOUND = Journal.LEAST_BOUND;
+    private static final long BOUND = DurableStore.MIN_CAPACITY_BYTES;
     private static final LosingDisk.Points NONE = call -> { };
 
     /** What was acknowledged, and the commit in hand as the power went. */
@@ -53,14 +53,14 @@
     }
 
     /** So many commits on that disk, or as far as it goes. */
-    private static void work(Journal journal, Told told, SplittableRandom chance, int commits) throws IOException {
+    private static void work(DurableStore journal, Told told, SplittableRandom chance, int commits) throws IOException {
         for (int i = 0; i < commits; i++) {
             List<Change> changes = drawn(chance);
             told.after = new TreeMap<>(told.held);
             apply(told.after, changes);
             try {
                 journal.commit(changes, false);
-            } catch (Journal.Full e) {
+            } catch (DurableStore.StoreFullException e) {
                 told.after = new TreeMap<>(told.held);
                 continue;
             }
@@ -69,9 +69,9 @@
         }
     }
 
-    private static TreeMap<String, String> held(Journal journal) {
+    private static TreeMap<String, String> held(DurableStore journal) {
         TreeMap<String, String> held = new TreeMap<>();
-        for (Map.Entry<String, byte[]> each : journal.facts().entrySet()) {
+        for (Map.Entry<String, byte[]> each : journal.entries().entrySet()) {
             held.put(each.getKey(), new String(each.getValue()));
         }
         return held;
@@ -92,16 +92,17 @@
                         throw new PowerLost();
                     }
                 });
-                Journal journal = new Journal(disk, "r1", BOUND);
+                DurableStore journal = new DurableStore(disk, "r1", BOUND);
                 TreeMap<String, String> held = held(journal);
                 assertTrue(held.equals(told.held) || held.equals(told.after), "seed " + seed + " loss " + at + ": "
-                        + held.keySet() + " and not " + told.held.keySet() + " " + journal.why());
-                assertTrue(journal.found().compareTo(Journal.Found.TORN) <= 0, "seed " + seed + " loss " + at + ": "
-                        + journal.found() + " " + journal.why());
-                assertTrue(journal.commits() >= told.commits);
+                        + held.keySet() + " and not " + told.held.keySet() + " " + journal.problem());
+                assertTrue(journal.outcome().compareTo(DurableStore.RecoveryOutcome.TORN) <= 0,
+                        "seed " + seed + " loss " + at + ": "
+                        + journal.outcome() + " " + journal.problem());
+                assertTrue(journal.lastCommit() >= told.commits);
                 told.held.clear();
                 told.held.putAll(held);
-                told.commits = journal.commits();
+                told.commits = journal.lastCommit();
                 try {
                     work(journal, told, chance, 60);
                 } catch (PowerLost e) {
@@ -122,7 +123,7 @@
                 throw new IOException("No space left on device");
             }
         });
-        Journal journal = new Journal(disk, "r1", BOUND);
+        DurableStore journal = new DurableStore(disk, "r1", BOUND);
         TreeMap<String, String> held = new TreeMap<>();
         int refused = 0;
         for (int i = 0; i < 3_000; i++) {
@@ -149,20 +150,20 @@
             }
         }
         disk.lose();
-        assertEquals(held(new Journal(new LosingDisk(media, chance, 0, NONE), "r1", BOUND)), held);
+        assertEquals(held(new DurableStore(new LosingDisk(media, chance, 0, NONE), "r1", BOUND)), held);
     }
 
     private static MemoryMedia written(int commits) throws IOException {
         MemoryMedia media = new MemoryMedia();
-        Journal journal = new Journal(new LosingDisk(media, new SplittableRandom(1), 0, NONE), "r1", 1 << 20);
+        DurableStore journal = new DurableStore(new LosingDisk(media, new SplittableRandom(1), 0, NONE), "r1", 1 << 20);
         for (int i = 0; i < commits; i++) {
             journal.commit(List.of(new Change("fact-" + i, new byte[100])), false);
         }
         return media;
     }
 
-    private static Journal open(MemoryMedia media, String owner) throws IOException {
-        return new Journal(new LosingDisk(media, new SplittableRandom(2), 0, NONE), owner, 1 << 20);
+    private static DurableStore open(MemoryMedia media, String owner) throws IOException {
+        return new DurableStore(new LosingDisk(media, new SplittableRandom(2), 0, NONE), owner, 1 << 20);
     }
 
     /** Damage between commits that were made is no torn end, and what is left is put aside, not written over. */
@@ -171,42 +172,42 @@
         String log = media.names().stream().filter(each -> each.endsWith(".log")).reduce((a, b) -> b).orElseThrow();
         MemoryMedia torn = new MemoryMedia(media);
         torn.spoil(log, media.read(log).length - 5, true);
-        Journal cut = open(torn, "r1");
-        assertEquals(cut.found(), Journal.Found.TORN);
-        assertEquals(cut.commits(), 49);
+        DurableStore cut = open(torn, "r1");
+        assertEquals(cut.outcome(), DurableStore.RecoveryOutcome.TORN);
+        assertEquals(cut.lastCommit(), 49);
         media.spoil(log, media.read(log).length / 2, false);
-        Journal journal = open(media, "r1");
-        assertEquals(journal.found(), Journal.Found.DAMAGED);
-        assertTrue(journal.commits() >= 50, journal.why());
+        DurableStore journal = open(media, "r1");
+        assertEquals(journal.outcome(), DurableStore.RecoveryOutcome.DAMAGED);
+        assertTrue(journal.lastCommit() >= 50, journal.problem());
         journal.commit(List.of(new Change("fresh", new byte[1])), true);
         assertTrue(media.names().stream().anyMatch(each -> each.startsWith("aside-")));
-        assertEquals(open(media, "r1").found(), Journal.Found.WHOLE);
+        assertEquals(open(media, "r1").outcome(), DurableStore.RecoveryOutcome.WHOLE);
     }
 
     /** A disk out of another machine holds nothing for this one, and nothing of it is lost. */
     public void aDiskOfAnotherNameIsPutAside() throws IOException {
         MemoryMedia media = written(5);
         byte[] before = media.read(media.names().get(0));
-        Journal journal = open(media, "r2");
-        assertEquals(journal.found(), Journal.Found.FOREIGN);
-        assertTrue(journal.facts().isEmpty());
+        DurableStore journal = open(media, "r2");
+        assertEquals(journal.outcome(), DurableStore.RecoveryOutcome.FOREIGN);
+        assertTrue(journal.entries().isEmpty());
         journal.commit(List.of(new Change("mine", new byte[1])), true);
         assertEquals(media.read("aside-" + media.names().stream().filter(each -> each.startsWith("aside-"))
                 .findFirst().orElseThrow().substring(6)), before);
-        Journal again = open(media, "r2");
-        assertEquals(again.facts().keySet(), java.util.Set.of("mine"));
+        DurableStore again = open(media, "r2");
+        assertEquals(again.entries().keySet(), java.util.Set.of("mine"));
     }
 
     /** What binds still has room where all else is refused. */
     public void aFullStoreStillTakesWhatBinds() throws IOException {
-        Journal journal = open(new MemoryMedia(), "r1");
-        assertThrows(Journal.Full.class, () -> {
+        DurableStore journal = open(new MemoryMedia(), "r1");
+        assertThrows(DurableStore.StoreFullException.class, () -> {
             for (int i = 0; i < 10_000; i++) {
                 journal.commit(List.of(new Change("fact-" + i, new byte[1_000])), false);
             }
         });
         journal.commit(List.of(new Change("floor", new byte[100])), true);
-        assertFalse(journal.facts().get("floor") == null);
+        assertFalse(journal.entries().get("floor") == null);
         journal.commit(List.of(new Change("fact-0", null)), false);
     }
 }
--- a/lab/src/test/java/vetchrill/protocol/SplittingTest.java
+++ b/lab/src/test/java/vetchrill/protocol/MessageSplittingTest.java
@@ -8,62 +8,63 @@
 import java.util.Arrays;
 import java.util.List;
 import org.testng.annotations.Test;
-import vetchrill.StandIns.Stub;
+import vetchrill.InstanceRig.StubClient;
 import vetchrill.transport.Connection;
 import vetchrill.transport.Limits;
 
 /** What a peer writes is read the same wherever the network cuts it. */
 @Test
-public class SplittingTest {
+public class MessageSplittingTest {
     private final Limits limits = new Limits(192 << 20, 64);
 
     /** Gives the bytes in two parts, the rest of the first once more with the second, as a connection does. */
-    private static void inTwo(Connection.Input input, byte[] bytes, int cut) {
+    private static void consumeInTwoParts(Connection.InputHandler handler, byte[] bytes, int cut) {
         int from = 0;
         for (int to : new int[] {cut, bytes.length}) {
-            int took = 1;
-            while (took > 0 && from < to) {
+            int consumedBytes = 1;
+            while (consumedBytes > 0 && from < to) {
                 byte[] seen = Arrays.copyOf(bytes, to);
-                took = input.take(seen, from, to);
-                from += Math.max(0, took);
+                consumedBytes = handler.consume(seen, from, to);
+                from += Math.max(0, consumedBytes);
                 Arrays.fill(seen, (byte) '?');
             }
         }
-        input.ended("over", false);
+        handler.inputEnded("over", false);
     }
 
-    public void framesAtEveryByte() throws IOException {
+    public void framesSplitAtAnyByteParseTheSame() throws IOException {
         java.io.ByteArrayOutputStream all = new java.io.ByteArrayOutputStream();
-        all.write(Stub.exchange(1, "look", "00000000000000aa", "b\0dy"));
-        all.write(Stub.frame(2, 2, new byte[20_000]));
-        all.write(Stub.frame(16, 3, Stub.payload("")));
+        all.write(StubClient.exchange(1, "look", "00000000000000aa", "b\0dy"));
+        all.write(StubClient.frame(2, 2, new byte[20_000]));
+        all.write(StubClient.frame(16, 3, StubClient.payload("")));
         byte[] bytes = all.toByteArray();
         for (int cut = 0; cut <= bytes.length; cut += cut < 300 || cut > 20_000 ? 1 : 97) {
             List<String> seen = new ArrayList<>();
-            inTwo(new FrameReader(limits, new FrameReader.Taker() {
+            consumeInTwoParts(new FrameReader(limits, new FrameReader.Handler() {
                 @Override
-                public boolean frame(int type, int stream, byte[] buf, int from, int to) {
+                public boolean onFrame(int type, int stream, byte[] buf, int from, int to) {
                     Fields fields = new Fields();
-                    String wrong = fields.read(buf, from, to);
+                    String wrong = fields.parse(buf, from, to);
                     seen.add(type + " " + stream + " " + wrong + " " + fields.text("rid") + " "
-                            + fields.number("mem") + " " + new String(buf, fields.end(), to - fields.end(),
+                            + fields.number("mem") + " " + new String(buf, fields.bodyOffset(),
+                            to - fields.bodyOffset(),
                             StandardCharsets.ISO_8859_1));
                     return true;
                 }
 
                 @Override
-                public boolean oversized(int type, int stream) {
+                public boolean onOversizedFrame(int type, int stream) {
                     seen.add("oversized " + type + " " + stream);
                     return true;
                 }
 
                 @Override
-                public void broken(String reason) {
+                public void onMalformedInput(String reason) {
                     seen.add(reason);
                 }
 
                 @Override
-                public void ended(boolean gone) {
+                public void onInputEnded(boolean gone) {
                     seen.add("over");
                 }
             }), bytes, cut);
@@ -72,41 +73,41 @@
         }
     }
 
-    public void linesAtEveryByte() {
+    public void linesSplitAtAnyByteParseTheSame() {
         byte[] bytes = ("BANNER old 3600000\r\nVALUE 1 aa good 12.5 6\r\nA\r\nB\r\n\r\nTOPS 7 0.5 1 0.1 3\r\n"
                 + "NOVELTY 1 2\r\nTRACE 2 hello there\r\nVALUE 3 bb gone 0 0\r\n\r\nERROR APPLY cc\r\n")
                 .getBytes(StandardCharsets.UTF_8);
         for (int cut = 0; cut <= bytes.length; cut++) {
             List<String> seen = new ArrayList<>();
-            inTwo(new InterpreterLines(limits, new InterpreterLines.Taker() {
+            consumeInTwoParts(new InterpreterLines(limits, new InterpreterLines.Handler() {
                 @Override
-                public void banner(String state, long sinceStart) {
+                public void onBanner(String state, long sinceStart) {
                     seen.add(state + " " + sinceStart);
                 }
 
                 @Override
-                public void value(long number, String id, String end, long took, byte[] buf, int from, int to) {
+                public void onValue(long number, String id, String end, long took, byte[] buf, int from, int to) {
                     seen.add(number + " " + id + " " + end + " " + took + " "
                             + new String(buf, from, to - from, StandardCharsets.UTF_8));
                 }
 
                 @Override
-                public void gauges(String tag, double[] row) {
+                public void onGauges(String tag, double[] row) {
                     seen.add(tag + " " + Arrays.toString(row));
                 }
 
                 @Override
-                public void error(String text) {
+                public void onError(String text) {
                     seen.add(text);
                 }
 
                 @Override
-                public void remark(long number, String text) {
+                public void onTrace(long number, String text) {
                     seen.add("remark " + number);
                 }
 
                 @Override
-                public void ended(String why) {
+                public void onInputEnded(String why) {
                     seen.add("over");
                 }
             }), bytes, cut);
@@ -115,10 +116,10 @@
         }
     }
 
-    public void answersAreAsThePageDraws() {
+    public void answersMatchTheWireFormat() {
         assertEquals(Frames.denied(5, 250, true), new byte[] {0, 0, 0, 29, 4, 0, 0, 0, 5, 66, 2,
             7, 'b', 'a', 'c', 'k', 'o', 'f', 'f', 0, 3, '2', '5', '0', 5, 'f', 'i', 'n', 'a', 'l', 0, 1, '1'});
         assertEquals(Frames.denied(5, 0, false), new byte[] {0, 0, 0, 7, 4, 0, 0, 0, 5, 66, 0});
-        assertEquals(Frames.nothingNew(), new byte[] {0, 0, 0, 5, 64, 0, 0, 0, 0});
+        assertEquals(Frames.goAway(), new byte[] {0, 0, 0, 5, 64, 0, 0, 0, 0});
     }
 }
--- /dev/null
+++ b/lab/src/test/java/vetchrill/routing/HealthReporterTest.java
@@ -0,0 +1,71 @@
+package vetchrill.routing;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertNull;
+import static vetchrill.InstanceRig.awaitNext;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import org.testng.annotations.Test;
+import vetchrill.protocol.HealthReportSink;
+import vetchrill.transport.Limits;
+
+@Test
+public class HealthReporterTest {
+    private final Limits limits = new Limits(64 << 20, 64);
+    private final LinkedBlockingQueue<Boolean> reports = new LinkedBlockingQueue<>();
+    private volatile int failuresLeft;
+
+    private HealthReporter startReporter() {
+        HealthReporter report = new HealthReporter(new HealthReportSink() {
+            @Override
+            public int report(boolean up) throws IOException {
+                reports.add(up);
+                if (failuresLeft > 0) {
+                    failuresLeft--;
+                    throw new IOException("no answer");
+                }
+                return 204;
+            }
+
+            @Override
+            public void moveTo(InetSocketAddress to) {
+                // The same hears of it.
+            }
+        }, limits);
+        report.start();
+        return report;
+    }
+
+    private Boolean nextReport(long span) throws InterruptedException {
+        return reports.poll(span / 10, TimeUnit.MILLISECONDS);
+    }
+
+    /** Once its address is free another process may have it, and its name: its UP must not be overruled by this one. */
+    public void noReportFollowsTheAcceptedFinalReport() throws Exception {
+        HealthReporter reporter = startReporter();
+        reporter.onHealthDecision(true);
+        assertEquals(awaitNext(reports, "a report"), Boolean.TRUE);
+        failuresLeft = 2;
+        reporter.onHealthDecision(false);
+        reporter.stopAfterFinalReport();
+        for (int i = 0; i < 3; i++) {
+            assertEquals(awaitNext(reports, "a report"), Boolean.FALSE, "twice without an answer, then taken");
+        }
+        assertNull(nextReport(2 * limits.reportIntervalTenthsMs));
+    }
+
+    /** One that had no answer may arrive after the one that had one. */
+    public void reportAfterAFailedReportIsRepeatedSoon() throws Exception {
+        failuresLeft = 1;
+        HealthReporter reporter = startReporter();
+        reporter.onHealthDecision(true);
+        assertEquals(awaitNext(reports, "a report"), Boolean.TRUE);
+        reporter.onHealthDecision(false);
+        assertEquals(awaitNext(reports, "a report"), Boolean.FALSE);
+        assertEquals(nextReport(limits.reportIntervalTenthsMs / 2), Boolean.FALSE,
+                "again, and not only after the usual pause");
+    }
+}
--- a/lab/src/test/java/vetchrill/transport/GuardedTest.java
+++ b/lab/src/test/java/vetchrill/transport/ConditionalSendTest.java
@@ -13,14 +13,14 @@
 
 /** A message that must not go out once something no longer holds, behind a peer that is slow to read. */
 @Test
-public class GuardedTest {
+public class ConditionalSendTest {
     private static final Limits LIMITS = new Limits(64 << 20, 64);
 
-    public void whatNoLongerHoldsIsNotWrittenAndTheRestIs() throws Exception {
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch all = new CountDownLatch(3);
+    public void dropsOnlyMessagesWhoseConditionNoLongerHolds() throws Exception {
+        CountDownLatch allowWrites = new CountDownLatch(1);
+        CountDownLatch allWritten = new CountDownLatch(3);
         List<String> written = new CopyOnWriteArrayList<>();
-        Pipe pipe = new Pipe() {
+        DuplexChannel channel = new DuplexChannel() {
             @Override
             public int read(byte[] buf, int from, int size) {
                 return -1;
@@ -29,12 +29,12 @@
             @Override
             public void write(byte[] buf, int from, int size) {
                 try {
-                    held.await();
+                    allowWrites.await();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
                 written.add(new String(buf, from, size));
-                all.countDown();
+                allWritten.countDown();
             }
 
             @Override
@@ -46,19 +46,20 @@
             }
         };
         AtomicLong unsent = new AtomicLong();
-        Connection connection = new Connection(pipe, LIMITS, new Workers("r", 1, LIMITS), new Workers("w", 1, LIMITS),
+        Connection connection = new Connection(channel, LIMITS, new WorkerPool("r", 1, LIMITS),
+                new WorkerPool("w", 1, LIMITS),
                 unsent, () -> { });
-        AtomicBoolean holds = new AtomicBoolean(true);
+        AtomicBoolean valid = new AtomicBoolean(true);
         CountDownLatch dropped = new CountDownLatch(1);
         connection.send("first".getBytes());
         connection.send("still".getBytes(), () -> true, () -> { });
-        connection.send("no more".getBytes(), holds::get, dropped::countDown);
+        connection.send("no more".getBytes(), valid::get, dropped::countDown);
         connection.send("last".getBytes());
         Thread.sleep(50);
-        holds.set(false);
-        held.countDown();
+        valid.set(false);
+        allowWrites.countDown();
         assertTrue(dropped.await(10, TimeUnit.SECONDS));
-        assertTrue(all.await(10, TimeUnit.SECONDS));
+        assertTrue(allWritten.await(10, TimeUnit.SECONDS));
         assertEquals(String.join(" ", written), "first still last");
         for (int i = 0; i < 100 && unsent.get() > 0; i++) {
             Thread.sleep(10);
--- a/lab/src/test/java/vetchrill/transport/LingeringCloseTest.java
+++ b/lab/src/test/java/vetchrill/transport/LingeringCloseTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertThrows;
 import static org.testng.Assert.assertTrue;
-import static vetchrill.StandIns.soon;
+import static vetchrill.InstanceRig.awaitNext;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -23,11 +23,11 @@
 @Test
 public class LingeringCloseTest {
     private static final Limits LIMITS = new Limits(64 << 20, 64);
-    private static final Workers READERS = new Workers("r", 1, LIMITS);
-    private static final Workers WRITERS = new Workers("w", 1, LIMITS);
+    private static final WorkerPool READERS = new WorkerPool("r", 1, LIMITS);
+    private static final WorkerPool WRITERS = new WorkerPool("w", 1, LIMITS);
 
-    private final AtomicLong unsent = new AtomicLong();
-    private final LinkedBlockingQueue<String> taken = new LinkedBlockingQueue<>();
+    private final AtomicLong totalUnsentBytes = new AtomicLong();
+    private final LinkedBlockingQueue<String> received = new LinkedBlockingQueue<>();
     private CountDownLatch closed;
     private Socket peer;
     private Connection connection;
@@ -36,13 +36,14 @@
     @BeforeMethod
     public void connect() throws IOException {
         closed = new CountDownLatch(1);
-        taken.clear();
+        received.clear();
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             peer = new Socket();
             peer.setReceiveBufferSize(2 << 10);
             peer.setSoTimeout(30_000);
             peer.connect(new InetSocketAddress(server.getInetAddress(), server.getLocalPort()));
-            connection = new Connection(Pipe.of(server.accept()), LIMITS, READERS, WRITERS, unsent, closed::countDown);
+            connection = new Connection(DuplexChannel.of(server.accept()), LIMITS, READERS, WRITERS, totalUnsentBytes,
+                    closed::countDown);
         }
     }
 
@@ -51,17 +52,17 @@
         peer.close();
         connection.close();
         assertTrue(closed.await(30, TimeUnit.SECONDS), "closed once its peer is");
-        assertEquals(unsent.get(), 0, "nothing is counted for a connection that is over");
+        assertEquals(totalUnsentBytes.get(), 0, "nothing is counted for a connection that is over");
     }
 
     /** Takes whole lines; gives up on one that begins with '!'. */
     private void start() {
-        connection.start(new Connection.Input() {
+        connection.start(new Connection.InputHandler() {
             @Override
-            public int take(byte[] buf, int from, int to) {
+            public int consume(byte[] buf, int from, int to) {
                 for (int at = from; at < to; at++) {
                     if (buf[at] == '\n') {
-                        taken.add(new String(buf, from, at - from));
+                        received.add(new String(buf, from, at - from));
                         return at + 1 - from;
                     }
                 }
@@ -69,16 +70,16 @@
             }
 
             @Override
-            public void ended(String why, boolean gone) {
-                taken.add(why);
+            public void inputEnded(String why, boolean gone) {
+                received.add(why);
             }
-        }, LIMITS.frame);
+        }, LIMITS.maxBufferedFrameBytes);
     }
 
-    private static void until(BooleanSupplier holds) {
-        long end = System.nanoTime() + 30_000_000_000L;
-        while (!holds.getAsBoolean()) {
-            assertTrue(System.nanoTime() < end, "never came to be so");
+    private static void awaitCondition(BooleanSupplier condition) {
+        long deadlineNanos = System.nanoTime() + 30_000_000_000L;
+        while (!condition.getAsBoolean()) {
+            assertTrue(System.nanoTime() < deadlineNanos, "never came to be so");
             Thread.onSpinWait();
         }
     }
@@ -87,30 +88,30 @@
         peer.getOutputStream().write(text.getBytes());
     }
 
-    public void whatIsOwedArrivesThoughThePeerHasSentMoreThanWasRead() throws Exception {
+    public void deliversQueuedBytesWhenPeerInputIsUnread() throws Exception {
         start();
         send("!");
-        assertEquals(soon(taken, "the end of reading"), "input that can't be read");
+        assertEquals(awaitNext(received, "the end of reading"), "input that can't be read");
         send("never read".repeat(1000));
         connection.send(new byte[150 << 10]);
         connection.close();
         assertEquals(peer.getInputStream().readAllBytes().length, 150 << 10);
     }
 
-    public void whatIsSentAfterTheEndIsDroppedAndTakesNothingAlong() throws Exception {
+    public void discardsInputReceivedAfterHalfClose() throws Exception {
         start();
         send("first\nhal");
-        assertEquals(soon(taken, "a message"), "first");
+        assertEquals(awaitNext(received, "a message"), "first");
         connection.send(new byte[150 << 10]);
         connection.close();
-        until(connection::isHalfClosed);
+        awaitCondition(connection::isHalfClosed);
         send("f\nwhole\n");
         assertEquals(peer.getInputStream().readAllBytes().length, 150 << 10);
         peer.shutdownOutput();
-        assertEquals(soon(taken, "the end"), "closed by the peer", "nothing is taken after the end was shown");
+        assertEquals(awaitNext(received, "the end"), "closed by the peer", "nothing is taken after the end was shown");
     }
 
-    public void whatIsGivenAfterTheClosingMarkIsNotWritten() throws Exception {
+    public void ignoresMessagesSentAfterClose() throws Exception {
         start();
         connection.send("owed".getBytes());
         connection.close();
@@ -119,7 +120,7 @@
         assertEquals(new String(peer.getInputStream().readAllBytes()), "owed");
     }
 
-    public void aPeerThatGoesOnSendingIsReadPastSoFarAndNoFurther() {
+    public void abortsPeerThatExceedsLingerByteLimit() {
         start();
         connection.close();
         assertThrows(IOException.class, () -> {
@@ -129,23 +130,23 @@
         });
     }
 
-    public void onePeerThatHasEndedIsNotLingeredFor() throws Exception {
+    public void closesAtOnceWhenPeerInputHasEnded() throws Exception {
         start();
         peer.shutdownOutput();
-        assertEquals(soon(taken, "the end"), "closed by the peer");
+        assertEquals(awaitNext(received, "the end"), "closed by the peer");
         connection.send("owed".getBytes());
         connection.close();
         assertTrue(closed.await(30, TimeUnit.SECONDS));
         assertEquals(new String(peer.getInputStream().readAllBytes()), "owed");
     }
 
-    public void aMessageInPiecesIsBeingReceivedUntilItIsWhole() throws Exception {
+    public void reportsPartialMessageUntilComplete() throws Exception {
         start();
         send("whole\nhal");
-        assertEquals(soon(taken, "a message"), "whole");
-        until(connection::isReceiving);
+        assertEquals(awaitNext(received, "a message"), "whole");
+        awaitCondition(connection::isReceiving);
         send("f\n");
-        assertEquals(soon(taken, "the other"), "half");
-        until(() -> !connection.isReceiving());
+        assertEquals(awaitNext(received, "the other"), "half");
+        awaitCondition(() -> !connection.isReceiving());
     }
 }
--- a/lab/src/test/java/vetchrill/transport/ListenerTest.java
+++ b/lab/src/test/java/vetchrill/transport/ListenerTest.java
@@ -2,7 +2,7 @@
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertThrows;
-import static vetchrill.StandIns.soon;
+import static vetchrill.InstanceRig.awaitNext;
 
 import java.net.ConnectException;
 import java.net.InetAddress;
@@ -18,14 +18,14 @@
 @Test
 public class ListenerTest {
     /** While one is being let in the others wait in the backlog, each with a request; then the listener is closed. */
-    public void whatTheSystemHasAcceptedIsTakenBeforeTheEnd() throws Exception {
+    public void acceptsBacklogBeforeClosing() throws Exception {
         InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), Ports.free());
-        LinkedBlockingQueue<Pipe> taken = new LinkedBlockingQueue<>();
-        CountDownLatch held = new CountDownLatch(1);
-        Listener listener = new Listener(address, new Limits(64 << 20, 64), pipe -> {
-            taken.add(pipe);
+        LinkedBlockingQueue<DuplexChannel> accepted = new LinkedBlockingQueue<>();
+        CountDownLatch allowAccept = new CountDownLatch(1);
+        Listener listener = new Listener(address, new Limits(64 << 20, 64), channel -> {
+            accepted.add(channel);
             try {
-                held.await();
+                allowAccept.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -37,21 +37,21 @@
             peer.getOutputStream().write(i);
             peers.add(peer);
         }
-        Pipe first = soon(taken, "the first");
+        DuplexChannel first = awaitNext(accepted, "the first");
         // Closing waits for the one that is being let in.
         Thread closing = new Thread(listener::close);
         closing.start();
         while (closing.getState() != Thread.State.TIMED_WAITING) {
             Thread.onSpinWait();
         }
-        held.countDown();
+        allowAccept.countDown();
         byte[] buf = new byte[1];
         first.read(buf, 0, 1);
         for (int i = 1; i < 20; i++) {
-            Pipe pipe = soon(taken, "connection " + i);
-            pipe.read(buf, 0, 1);
+            DuplexChannel channel = awaitNext(accepted, "connection " + i);
+            channel.read(buf, 0, 1);
             assertEquals(buf[0], i);
-            pipe.write(buf, 0, 1);
+            channel.write(buf, 0, 1);
             assertEquals(peers.get(i).getInputStream().read(), i, "it is answered like any other");
         }
         assertThrows(ConnectException.class, () -> {
--- a/peers/src/main/java/vetchrill/audit/Row.java
+++ b/peers/src/main/java/vetchrill/audit/AuditEvent.java
@@ -10,17 +10,18 @@
  * read for all.
  *
  * @param kind what it tells
- * @param hybrid see {@link HybridTime}
+ * @param hybridTime see {@link HybridLogicalClock}
  * @param id of an exchange; else a number as the kind says
  * @param version by which it was decided, or that it is about
  * @param group and {@code customer}: places in the settings that the life names
  * @param answer as in the recorder: completed 1, denied 2, terminated 3, left 4
- * @param at tenths of a millisecond of the instance's own clock, which never steps
+ * @param instanceTime tenths of a millisecond of the instance's own clock, which never steps
  * @param text a name, a digest or what staff was told
- * @param more another text
+ * @param detail another text
  */
-public record Row(Kind kind, long hybrid, long id, long version, int group, int customer, int answer, long at,
-        String text, String more) {
+public record AuditEvent(Kind kind, long hybridTime, long id, long version, int group, int customer, int answer,
+        long instanceTime,
+        String text, String detail) {
     public enum Kind {
         /** A process begins: its name, number (id), and in {@code more} what it is. */
         LIFE,
@@ -41,26 +42,26 @@
     }
 
     private static final Kind[] KINDS = Kind.values();
-    private static final int FIELDS = 10;
+    private static final int FIELD_COUNT = 10;
 
-    static void write(JsonGenerator out, Kind kind, long hybrid, long id, long version, int group, int customer,
-            int answer, long at, String text, String more) throws IOException {
-        out.writeStartArray(null, FIELDS);
+    static void write(JsonGenerator out, Kind kind, long hybridTime, long id, long version, int group, int customer,
+            int answer, long instanceTime, String text, String detail) throws IOException {
+        out.writeStartArray(null, FIELD_COUNT);
         out.writeNumber(kind.ordinal());
-        out.writeNumber(hybrid);
+        out.writeNumber(hybridTime);
         out.writeNumber(id);
         out.writeNumber(version);
         out.writeNumber(group);
         out.writeNumber(customer);
         out.writeNumber(answer);
-        out.writeNumber(at);
+        out.writeNumber(instanceTime);
         out.writeString(text);
-        out.writeString(more);
+        out.writeString(detail);
         out.writeEndArray();
     }
 
     /** Null at the end. */
-    static Row read(JsonParser in) throws IOException {
+    static AuditEvent read(JsonParser in) throws IOException {
         JsonToken token = in.nextToken();
         if (token == null) {
             return null;
@@ -72,12 +73,12 @@
         if (kind < 0 || kind >= KINDS.length) {
             throw new IOException("a row of an unknown kind");
         }
-        Row row = new Row(KINDS[kind], in.nextLongValue(0), in.nextLongValue(0), in.nextLongValue(0),
+        AuditEvent event = new AuditEvent(KINDS[kind], in.nextLongValue(0), in.nextLongValue(0), in.nextLongValue(0),
                 in.nextIntValue(0), in.nextIntValue(0), in.nextIntValue(0), in.nextLongValue(0), text(in), text(in));
         if (in.nextToken() != JsonToken.END_ARRAY) {
             throw new IOException("a row of another length");
         }
-        return row;
+        return event;
     }
 
     private static String text(JsonParser in) throws IOException {
