--- /dev/null
+++ b/peers/src/main/java/vetchrill/audit/AuditSegments.java
@@ -0,0 +1,165 @@
+package vetchrill.audit;
+
+import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
+import java.io.DataInputStream;
+import java.io.BufferedInputStream;
+import java.io.EOFException;
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.security.MessageDigest;
+import java.util.ArrayList;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.zip.CRC32C;
+import vetchrill.versions.Digests;
+
+/**
+ * The files of a record. A segment begins with a head of fixed size: format, the name of its instance, its number, the
+ * number of its first block, the digest before it. Each block is its length, a CRC-32C of what follows, its digest
+ * (SHA-256 of the digest before it and of its rows) and its rows, one CBOR item after the other (RFC 8742).
+ */
+public final class AuditSegments {
+    static final CBORFactory CBOR = new CBORFactory();
+    static final byte[] FORMAT = "VAUDIT01".getBytes(StandardCharsets.US_ASCII);
+    static final int DIGEST_BYTES = 32;
+    static final int NAME_BYTES = 128;
+    static final int HEADER_BYTES = 8 + NAME_BYTES + 8 + 8 + DIGEST_BYTES;
+    static final int BLOCK_HEADER_BYTES = 4 + 4 + DIGEST_BYTES;
+    static final int MAX_BLOCK_BYTES = 8 << 20;
+
+    /** The head of one segment. */
+    public record Header(String name, long number, long firstBlock, byte[] previousDigest) {
+        byte[] encode() {
+            ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES);
+            byte[] text = name.getBytes(StandardCharsets.UTF_8);
+            buffer.put(FORMAT).put(text, 0, Math.min(NAME_BYTES, text.length)).position(8 + NAME_BYTES);
+            return buffer.putLong(number).putLong(firstBlock).put(previousDigest).array();
+        }
+
+        static Header decode(byte[] bytes) throws IOException {
+            ByteBuffer buffer = ByteBuffer.wrap(bytes);
+            byte[] format = new byte[FORMAT.length];
+            byte[] name = new byte[NAME_BYTES];
+            byte[] previousDigest = new byte[DIGEST_BYTES];
+            buffer.get(format).get(name);
+            if (!java.util.Arrays.equals(format, FORMAT)) {
+                throw new IOException("no segment of a record, or of another format");
+            }
+            long number = buffer.getLong();
+            long firstBlock = buffer.getLong();
+            buffer.get(previousDigest);
+            return new Header(new String(name, StandardCharsets.UTF_8).trim(), number, firstBlock, previousDigest);
+        }
+    }
+
+    /** Who is told of a record in the order in which it was written. */
+    public interface Visitor {
+        default void segment(Path file, Header header) {
+        }
+
+        /** A block whose checksum is right; {@code chained} where its digest follows from the one before. */
+        default void block(Path file, long number, byte[] digest, boolean chained) {
+        }
+
+        void event(AuditEvent event) throws IOException;
+
+        /** What follows can't be read: at a file's end a write that was torn, elsewhere damage. */
+        default void unreadable(Path file, long offset, long remaining, String problem) {
+        }
+    }
+
+    private AuditSegments() {
+    }
+
+    static Path segmentPath(Path folder, String name, long number) {
+        return folder.resolve(String.format("%s-%08d.audit", name, number));
+    }
+
+    /** All of a folder, by name and number. */
+    public static List<Path> filesIn(Path folder) throws IOException {
+        try (var files = Files.list(folder)) {
+            return new ArrayList<>(files.filter(each -> each.getFileName().toString().endsWith(".audit")).sorted()
+                    .toList());
+        }
+    }
+
+    static byte[] chainedDigest(byte[] previousDigest, byte[] payload, int size) {
+        MessageDigest sha = Digests.sha256();
+        sha.update(previousDigest);
+        sha.update(payload, 0, size);
+        return sha.digest();
+    }
+
+    static byte[] encodeBlock(byte[] digest, byte[] payload, int size) {
+        ByteBuffer block = ByteBuffer.allocate(BLOCK_HEADER_BYTES + size);
+        block.putInt(size).putInt(0).put(digest).put(payload, 0, size);
+        CRC32C crc = new CRC32C();
+        crc.update(block.array(), 8, DIGEST_BYTES + size);
+        return block.putInt(4, (int) crc.getValue()).array();
+    }
+
+    /** Reads one segment; how many octets of it are whole, and its last digest and block number. */
+    public record SegmentEnd(long intactBytes, byte[] digest, long nextBlock) {
+    }
+
+    public static SegmentEnd read(Path file, Visitor visitor) throws IOException {
+        try (DataInputStream in = new DataInputStream(new BufferedInputStream(Files.newInputStream(file), 1 << 16))) {
+            long fileBytes = Files.size(file);
+            byte[] headerBytes = in.readNBytes(HEADER_BYTES);
+            if (headerBytes.length < HEADER_BYTES) {
+                visitor.unreadable(file, 0, fileBytes, "the head is torn");
+                return new SegmentEnd(0, new byte[DIGEST_BYTES], 0);
+            }
+            Header header = Header.decode(headerBytes);
+            visitor.segment(file, header);
+            byte[] digest = header.previousDigest();
+            long blockNumber = header.firstBlock();
+            long offset = HEADER_BYTES;
+            while (offset < fileBytes) {
+                String problem = null;
+                byte[] payload = null;
+                byte[] storedDigest = new byte[DIGEST_BYTES];
+                try {
+                    int size = in.readInt();
+                    int crc = in.readInt();
+                    if (size < 0 || size > MAX_BLOCK_BYTES) {
+                        problem = "a block of " + size + " octets";
+                    } else {
+                        in.readFully(storedDigest);
+                        payload = new byte[size];
+                        in.readFully(payload);
+                        CRC32C computed = new CRC32C();
+                        computed.update(storedDigest);
+                        computed.update(payload);
+                        problem = (int) computed.getValue() == crc ? null : "a block with a wrong checksum";
+                    }
+                } catch (EOFException e) {
+                    problem = "a block that is torn";
+                }
+                if (problem != null) {
+                    visitor.unreadable(file, offset, fileBytes - offset, problem);
+                    return new SegmentEnd(offset, digest, blockNumber);
+                }
+                byte[] expectedDigest = chainedDigest(digest, payload, payload.length);
+                visitor.block(file, blockNumber, storedDigest, MessageDigest.isEqual(expectedDigest, storedDigest));
+                try (JsonParser parser = CBOR.createParser(payload)) {
+                    for (AuditEvent event = AuditEvent.read(parser); event != null; event = AuditEvent.read(parser)) {
+                        visitor.event(event);
+                    }
+                }
+                digest = storedDigest;
+                blockNumber++;
+                offset += BLOCK_HEADER_BYTES + payload.length;
+            }
+            return new SegmentEnd(offset, digest, blockNumber);
+        }
+    }
+
+    public static String hex(byte[] digest) {
+        return HexFormat.of().formatHex(digest);
+    }
+}
--- a/peers/src/main/java/vetchrill/audit/AuditWriter.java
+++ b/peers/src/main/java/vetchrill/audit/AuditWriter.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 import java.util.concurrent.locks.LockSupport;
 import org.jctools.queues.SpscArrayQueue;
-import vetchrill.audit.Row.Kind;
+import vetchrill.audit.AuditEvent.Kind;
 import vetchrill.routing.Recorder;
 
 /**
@@ -26,134 +26,135 @@
 public final class AuditWriter implements Recorder {
     /** Where the octets go; a rig puts a disk in its place that is full or slow. */
     public interface Disk {
-        void write(FileChannel to, ByteBuffer bytes) throws IOException;
+        void write(FileChannel channel, ByteBuffer bytes) throws IOException;
 
-        void sync(FileChannel of) throws IOException;
+        void sync(FileChannel channel) throws IOException;
     }
 
     /** The disk as it is. */
-    public static final Disk PLAIN = new Disk() {
+    public static final Disk FILE_SYSTEM = new Disk() {
         @Override
-        public void write(FileChannel to, ByteBuffer bytes) throws IOException {
+        public void write(FileChannel channel, ByteBuffer bytes) throws IOException {
             while (bytes.hasRemaining()) {
-                to.write(bytes);
+                channel.write(bytes);
             }
         }
 
         @Override
-        public void sync(FileChannel of) throws IOException {
-            of.force(false);
+        public void sync(FileChannel channel) throws IOException {
+            channel.force(false);
         }
     };
 
     /** How far the record has come, as others are told. */
-    public record Reached(long block, String digest) {
+    public record Position(long block, String digest) {
     }
 
     private static final System.Logger LOG = System.getLogger("vetchrill.audit");
-    private static final long PAUSE_NS = 2_000_000;
-    private static final int BLOCK = 256 << 10;
-    private static final int NOTES = 4_096;
+    private static final long IDLE_PAUSE_NS = 2_000_000;
+    private static final int BLOCK_BYTES = 256 << 10;
+    private static final int MAX_QUEUED_NOTICES = 4_096;
 
-    private record Note(Kind kind, long id, long version, String text, String more) {
+    private record Notice(Kind kind, long id, long version, String text, String detail) {
     }
 
     /** A row on its way, taken up again once it is written. */
-    private static final class Waiting {
+    private static final class PendingEvent {
         private Kind kind;
-        private long hybrid;
+        private long hybridTime;
         private long id;
         private long version;
         private int group;
         private int customer;
         private int answer;
-        private long at;
+        private long instanceTime;
     }
 
-    private final AuditTerms terms;
+    private final AuditConfig config;
     private final String name;
-    private final HybridTime time;
+    private final HybridLogicalClock hybridClock;
     private final Disk disk;
-    private final SpscArrayQueue<Waiting> empty;
-    private final SpscArrayQueue<Waiting> full;
+    private final SpscArrayQueue<PendingEvent> freeEvents;
+    private final SpscArrayQueue<PendingEvent> queuedEvents;
     /** From whatever thread, seldom. */
-    private final ConcurrentLinkedQueue<Note> notes = new ConcurrentLinkedQueue<>();
+    private final ConcurrentLinkedQueue<Notice> queuedNotices = new ConcurrentLinkedQueue<>();
     private final AtomicLongArray counts = new AtomicLongArray(4);
     /** Written by the decision thread only: rows that found no room in the ring. */
-    private volatile long missed;
-    private volatile long notesMissed;
-    private volatile Reached reached;
+    private volatile long droppedEvents;
+    private volatile long droppedNotices;
+    private volatile Position position;
     private volatile boolean closing;
-    private final ExchangeRow row = new ExchangeRow();
-    private final Thread writer;
+    private final ExchangeRow exchangeRow = new ExchangeRow();
+    private final Thread writerThread;
     // Of the writer alone.
-    private final ByteArrayOutputStream rows = new ByteArrayOutputStream(BLOCK);
-    private JsonGenerator out;
-    private long rowsInBlock;
-    private long told;
-    private long lost;
-    private FileChannel file;
-    private long fileBytes;
-    private long segment;
-    private byte[] digest = new byte[Segments.DIGEST];
+    private final ByteArrayOutputStream blockBuffer = new ByteArrayOutputStream(BLOCK_BYTES);
+    private JsonGenerator generator;
+    private long eventsInBlock;
+    private long reportedLeftOut;
+    private long unwrittenEvents;
+    private FileChannel segmentFile;
+    private long segmentLength;
+    private long nextSegment;
+    private byte[] lastDigest = new byte[AuditSegments.DIGEST_BYTES];
     private long nextBlock;
     private boolean failing;
 
     /** {@code what} says what the process is, at the begin of its life. Throws where the folder is of no use. */
-    public AuditWriter(AuditTerms terms, String name, long nonce, String what, HybridTime time, Disk disk)
+    public AuditWriter(AuditConfig config, String name, long nonce, String processInfo, HybridLogicalClock hybridClock,
+            Disk disk)
             throws IOException {
-        this.terms = terms;
+        this.config = config;
         this.name = name;
-        this.time = time;
+        this.hybridClock = hybridClock;
         this.disk = disk;
-        empty = new SpscArrayQueue<>(terms.ring());
-        full = new SpscArrayQueue<>(terms.ring());
-        for (int i = 0; i < terms.ring(); i++) {
-            empty.offer(new Waiting());
+        freeEvents = new SpscArrayQueue<>(config.ringCapacity());
+        queuedEvents = new SpscArrayQueue<>(config.ringCapacity());
+        for (int i = 0; i < config.ringCapacity(); i++) {
+            freeEvents.offer(new PendingEvent());
         }
-        Files.createDirectories(terms.directory());
-        goOn();
-        out = Segments.CBOR.createGenerator(rows);
-        reached = new Reached(nextBlock - 1, Segments.hex(digest));
-        notes.add(new Note(Kind.LIFE, nonce, 0, name, what));
-        writer = new Thread(null, this::keep, "audit", 512 << 10);
-        writer.setDaemon(true);
-        writer.start();
+        Files.createDirectories(config.directory());
+        resumeLog();
+        generator = AuditSegments.CBOR.createGenerator(blockBuffer);
+        position = new Position(nextBlock - 1, AuditSegments.hex(lastDigest));
+        queuedNotices.add(new Notice(Kind.LIFE, nonce, 0, name, processInfo));
+        writerThread = new Thread(null, this::runWriter, "audit", 512 << 10);
+        writerThread.setDaemon(true);
+        writerThread.start();
     }
 
     /** Where the record of the last life ends, this one goes on; a write that was torn by its end is cut off. */
-    private void goOn() throws IOException {
-        List<Path> mine = Segments.in(terms.directory()).stream()
+    private void resumeLog() throws IOException {
+        List<Path> segments = AuditSegments.filesIn(config.directory()).stream()
                 .filter(each -> each.getFileName().toString().startsWith(name + "-")).toList();
-        if (mine.isEmpty()) {
+        if (segments.isEmpty()) {
             return;
         }
-        Path last = mine.get(mine.size() - 1);
+        Path last = segments.get(segments.size() - 1);
         String number = last.getFileName().toString().replaceAll(".*-(\\d+)\\.audit", "$1");
-        segment = Long.parseLong(number) + 1;
+        nextSegment = Long.parseLong(number) + 1;
         long size = Files.size(last);
-        Segments.End end = Segments.read(last, each -> { });
-        if (end.whole() < size) {
+        AuditSegments.SegmentEnd end = AuditSegments.read(last, each -> { });
+        if (end.intactBytes() < size) {
             try (FileChannel channel = FileChannel.open(last, StandardOpenOption.WRITE)) {
-                channel.truncate(end.whole());
+                channel.truncate(end.intactBytes());
             }
             LOG.log(System.Logger.Level.WARNING, "{0} ended within a block: {1} octets cut off", last, size
-                    - end.whole());
+                    - end.intactBytes());
         }
-        if (end.whole() > 0) {
-            digest = end.digest();
+        if (end.intactBytes() > 0) {
+            lastDigest = end.digest();
             nextBlock = end.nextBlock();
         }
     }
 
     /** Exchanges that were decided since the start, and of these denied, failed and broken off. */
-    public long count(int which) {
-        return counts.get(which);
+    public long counter(int index) {
+        return counts.get(index);
     }
 
     /** How far the record has come on the disk. */
-    public Reached reached() {
-        return reached;
+    public Position position() {
+        return position;
     }
 
     // On the decision thread.
@@ -164,221 +165,226 @@
     }
 
     @Override
-    public ExchangeRow claimExchange() {
-        return row;
+    public ExchangeRow claimExchangeRow() {
+        return exchangeRow;
     }
 
     @Override
     public void put(ExchangeRow row) {
         counts.lazySet(0, counts.get(0) + 1);
-        int kind = row.answer == DENIED ? 1 : row.answer == TERMINATED ? row.begun > 0 ? 2 : 3 : 0;
-        if (kind > 0) {
-            counts.lazySet(kind, counts.get(kind) + 1);
+        int counterIndex = row.answerKind == DENIED ? 1 : row.answerKind == TERMINATED ? row.startedAt > 0 ? 2 : 3 : 0;
+        if (counterIndex > 0) {
+            counts.lazySet(counterIndex, counts.get(counterIndex) + 1);
         }
-        note(Kind.OVER, row.id, row.version, row.group, row.customer, row.answer, row.answered);
+        enqueue(Kind.OVER, row.id, row.version, row.group, row.customer, row.answerKind, row.answeredAt);
     }
 
     @Override
-    public void begun(long id, long version, int group, int customer, long at) {
-        note(Kind.BEGUN, id, version, group, customer, 0, at);
+    public void runRequested(long id, long version, int group, int customer, long at) {
+        enqueue(Kind.BEGUN, id, version, group, customer, 0, at);
     }
 
     @Override
-    public void taken(long version) {
-        note(Kind.TAKEN, 0, version, 0, 0, 0, 0);
+    public void versionActivated(long version) {
+        enqueue(Kind.TAKEN, 0, version, 0, 0, 0, 0);
     }
 
-    private void note(Kind kind, long id, long version, int group, int customer, int answer, long at) {
-        Waiting each = empty.relaxedPoll();
-        if (each == null) {
-            missed++;
+    private void enqueue(Kind kind, long id, long version, int group, int customer, int answer, long instanceTime) {
+        PendingEvent event = freeEvents.relaxedPoll();
+        if (event == null) {
+            droppedEvents++;
             return;
         }
-        each.kind = kind;
-        each.hybrid = time.next();
-        each.id = id;
-        each.version = version;
-        each.group = group;
-        each.customer = customer;
-        each.answer = answer;
-        each.at = at;
-        full.offer(each);
+        event.kind = kind;
+        event.hybridTime = hybridClock.next();
+        event.id = id;
+        event.version = version;
+        event.group = group;
+        event.customer = customer;
+        event.answer = answer;
+        event.instanceTime = instanceTime;
+        queuedEvents.offer(event);
     }
 
     @Override
-    public LookRow claimLook() {
+    public GaugeRow claimGaugeRow() {
         return null;
     }
 
     @Override
-    public void put(LookRow row) {
+    public void put(GaugeRow row) {
         throw new IllegalStateException("looks are not recorded here");
     }
 
     // On any thread.
 
     /** Something that staff was told. */
-    public void event(String what, long version, String of) {
-        note(new Note(Kind.EVENT, 0, version, what, of));
+    public void recordNotice(String name, long version, String detail) {
+        enqueue(new Notice(Kind.EVENT, 0, version, name, detail));
     }
 
     /** What another instance said of its record. */
-    public void head(String peer, long block, String digest) {
-        note(new Note(Kind.HEAD, block, 0, peer, digest));
+    public void recordPeerPosition(String peer, long block, String digest) {
+        enqueue(new Notice(Kind.HEAD, block, 0, peer, digest));
     }
 
-    private void note(Note note) {
-        if (notes.size() < NOTES) {
-            notes.add(note);
+    private void enqueue(Notice notice) {
+        if (queuedNotices.size() < MAX_QUEUED_NOTICES) {
+            queuedNotices.add(notice);
         } else {
-            notesMissed++;
+            droppedNotices++;
         }
     }
 
     // On the writer's thread.
 
-    private void keep() {
-        long flushAt = System.nanoTime() + terms.flush() * 100_000;
+    private void runWriter() {
+        long flushAt = System.nanoTime() + config.flushPeriod() * 100_000;
         while (true) {
-            boolean last = closing;
+            boolean lastPass = closing;
             try {
-                boolean any = drain();
-                if (last) {
-                    row(Kind.END, time.next(), 0, 0, 0, 0, 0, 0, name, "");
+                boolean drained = drainQueues();
+                if (lastPass) {
+                    appendEvent(Kind.END, hybridClock.next(), 0, 0, 0, 0, 0, 0, name, "");
                 }
-                if (last || rows.size() >= BLOCK || System.nanoTime() >= flushAt) {
-                    flush();
-                    flushAt = System.nanoTime() + terms.flush() * 100_000;
+                if (lastPass || blockBuffer.size() >= BLOCK_BYTES || System.nanoTime() >= flushAt) {
+                    writeBlock();
+                    flushAt = System.nanoTime() + config.flushPeriod() * 100_000;
                 }
-                if (last) {
-                    if (file != null) {
-                        file.close();
+                if (lastPass) {
+                    if (segmentFile != null) {
+                        segmentFile.close();
                     }
                     return;
                 }
-                if (!any) {
-                    LockSupport.parkNanos(PAUSE_NS);
+                if (!drained) {
+                    LockSupport.parkNanos(IDLE_PAUSE_NS);
                 }
             } catch (IOException e) {
-                failed(e);
-                if (last) {
+                handleWriteFailure(e);
+                if (lastPass) {
                     return;
                 }
-                LockSupport.parkNanos(terms.flush() * 100_000);
+                LockSupport.parkNanos(config.flushPeriod() * 100_000);
             }
         }
     }
 
-    private boolean drain() throws IOException {
-        boolean any = false;
-        for (Note each = notes.poll(); each != null; each = notes.poll()) {
-            row(each.kind(), time.next(), each.id(), each.version(), 0, 0, 0, 0, each.text(), each.more());
-            any = true;
+    private boolean drainQueues() throws IOException {
+        boolean drained = false;
+        for (Notice each = queuedNotices.poll(); each != null; each = queuedNotices.poll()) {
+            appendEvent(each.kind(), hybridClock.next(), each.id(), each.version(), 0, 0, 0, 0, each.text(),
+                    each.detail());
+            drained = true;
         }
-        for (Waiting each = full.relaxedPoll(); each != null; each = full.relaxedPoll()) {
-            row(each.kind, each.hybrid, each.id, each.version, each.group, each.customer, each.answer, each.at, "",
+        for (PendingEvent each = queuedEvents.relaxedPoll(); each != null; each = queuedEvents.relaxedPoll()) {
+            appendEvent(each.kind, each.hybridTime, each.id, each.version, each.group, each.customer, each.answer,
+                    each.instanceTime, "",
                     "");
-            empty.offer(each);
-            any = true;
-            if (rows.size() >= BLOCK) {
-                flush();
+            freeEvents.offer(each);
+            drained = true;
+            if (blockBuffer.size() >= BLOCK_BYTES) {
+                writeBlock();
             }
         }
-        return any;
+        return drained;
     }
 
-    private void row(Kind kind, long hybrid, long id, long version, int group, int customer, int answer, long at,
-            String text, String more) throws IOException {
-        Row.write(out, kind, hybrid, id, version, group, customer, answer, at, text, more);
-        out.flush();
-        rowsInBlock++;
+    private void appendEvent(Kind kind, long hybridTime, long id, long version, int group, int customer, int answer,
+            long instanceTime,
+            String text, String detail) throws IOException {
+        AuditEvent.write(generator, kind, hybridTime, id, version, group, customer, answer, instanceTime, text, detail);
+        generator.flush();
+        eventsInBlock++;
     }
 
-    private void flush() throws IOException {
-        long out = missed + notesMissed + lost;
-        if (out > told) {
-            row(Kind.LEFT_OUT, time.next(), out - told, 0, 0, 0, 0, 0, "", "");
+    private void writeBlock() throws IOException {
+        long leftOut = droppedEvents + droppedNotices + unwrittenEvents;
+        if (leftOut > reportedLeftOut) {
+            appendEvent(Kind.LEFT_OUT, hybridClock.next(), leftOut - reportedLeftOut, 0, 0, 0, 0, 0, "", "");
             // Where this can't be written either, it is not one more that was left out.
-            rowsInBlock--;
+            eventsInBlock--;
         }
-        if (rows.size() == 0) {
+        if (blockBuffer.size() == 0) {
             return;
         }
-        if (file == null || fileBytes >= terms.segmentBytes()) {
-            begin();
+        if (segmentFile == null || segmentLength >= config.segmentBytes()) {
+            startSegment();
         }
-        byte[] bytes = rows.toByteArray();
-        byte[] its = Segments.digest(digest, bytes, bytes.length);
-        byte[] block = Segments.block(its, bytes, bytes.length);
-        disk.write(file, ByteBuffer.wrap(block));
-        disk.sync(file);
-        digest = its;
-        fileBytes += block.length;
-        reached = new Reached(nextBlock, Segments.hex(its));
+        byte[] payload = blockBuffer.toByteArray();
+        byte[] blockDigest = AuditSegments.chainedDigest(lastDigest, payload, payload.length);
+        byte[] block = AuditSegments.encodeBlock(blockDigest, payload, payload.length);
+        disk.write(segmentFile, ByteBuffer.wrap(block));
+        disk.sync(segmentFile);
+        lastDigest = blockDigest;
+        segmentLength += block.length;
+        position = new Position(nextBlock, AuditSegments.hex(blockDigest));
         nextBlock++;
-        told = Math.max(told, out);
-        rows.reset();
-        rowsInBlock = 0;
+        reportedLeftOut = Math.max(reportedLeftOut, leftOut);
+        blockBuffer.reset();
+        eventsInBlock = 0;
         if (failing) {
             failing = false;
-            LOG.log(System.Logger.Level.INFO, "the record goes on; {0} rows were left out since the start", told);
+            LOG.log(System.Logger.Level.INFO, "the record goes on; {0} rows were left out since the start",
+                    reportedLeftOut);
         }
     }
 
     /** What could not be written is left out and counted; what stands in the file by half is cut off again. */
-    private void failed(IOException e) {
+    private void handleWriteFailure(IOException e) {
         if (!failing) {
             LOG.log(System.Logger.Level.ERROR, "the record can''t be written: {0}", String.valueOf(e.getMessage()));
         }
         failing = true;
-        lost += rowsInBlock;
-        rows.reset();
-        rowsInBlock = 0;
+        unwrittenEvents += eventsInBlock;
+        blockBuffer.reset();
+        eventsInBlock = 0;
         try {
-            if (file != null) {
-                file.truncate(fileBytes);
-                file.position(fileBytes);
+            if (segmentFile != null) {
+                segmentFile.truncate(segmentLength);
+                segmentFile.position(segmentLength);
             }
         } catch (IOException again) {
-            file = null;
+            segmentFile = null;
         }
     }
 
-    private void begin() throws IOException {
-        if (file != null) {
-            file.close();
-            file = null;
+    private void startSegment() throws IOException {
+        if (segmentFile != null) {
+            segmentFile.close();
+            segmentFile = null;
         }
-        spare();
-        Path path = Segments.file(terms.directory(), name, segment);
-        FileChannel fresh = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
+        deleteOldSegments();
+        Path path = AuditSegments.segmentPath(config.directory(), name, nextSegment);
+        FileChannel channel = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
                 StandardOpenOption.TRUNCATE_EXISTING);
         try {
-            disk.write(fresh, ByteBuffer.wrap(new Segments.Head(name, segment, nextBlock, digest).bytes()));
+            disk.write(channel,
+                    ByteBuffer.wrap(new AuditSegments.Header(name, nextSegment, nextBlock, lastDigest).encode()));
         } catch (IOException e) {
-            fresh.close();
+            channel.close();
             throw e;
         }
-        file = fresh;
-        fileBytes = Segments.HEAD;
-        segment++;
+        segmentFile = channel;
+        segmentLength = AuditSegments.HEADER_BYTES;
+        nextSegment++;
     }
 
     /** The oldest files go first; that they were there shows by the number at which the next one begins. */
-    private void spare() throws IOException {
-        List<Path> mine = Segments.in(terms.directory());
-        long all = 0;
-        for (Path each : mine) {
-            all += Files.size(each);
+    private void deleteOldSegments() throws IOException {
+        List<Path> segments = AuditSegments.filesIn(config.directory());
+        long totalBytes = 0;
+        for (Path each : segments) {
+            totalBytes += Files.size(each);
         }
-        for (Path each : mine) {
-            if (all + terms.segmentBytes() <= terms.mostBytes()) {
+        for (Path each : segments) {
+            if (totalBytes + config.segmentBytes() <= config.maxBytes()) {
                 return;
             }
-            all -= Files.size(each);
+            totalBytes -= Files.size(each);
             Files.delete(each);
             LOG.log(System.Logger.Level.WARNING, "{0} is given up for the bound of {1} MB", each,
-                    terms.mostBytes() >> 20);
+                    config.maxBytes() >> 20);
         }
     }
 
@@ -387,7 +393,7 @@
     public void close() {
         closing = true;
         try {
-            writer.join(TimeUnit.SECONDS.toMillis(5));
+            writerThread.join(TimeUnit.SECONDS.toMillis(5));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/peers/src/main/java/vetchrill/audit/HybridTime.java
+++ b/peers/src/main/java/vetchrill/audit/HybridLogicalClock.java
@@ -8,30 +8,30 @@
  * number. It never goes back on one instance though its clock does, and what was heard of another is always later than
  * what that one had done before it spoke.
  */
-public final class HybridTime {
+public final class HybridLogicalClock {
     /** Of the number, those that count within one millisecond. */
     public static final int COUNTER_BITS = 16;
 
-    private final LongSupplier wall;
+    private final LongSupplier wallClock;
     private final AtomicLong last = new AtomicLong();
 
     /** {@code wall} tells milliseconds of Unix time, and may step. */
-    public HybridTime(LongSupplier wall) {
-        this.wall = wall;
+    public HybridLogicalClock(LongSupplier wallClock) {
+        this.wallClock = wallClock;
     }
 
     /** The next one, on any thread. */
     public long next() {
-        long physical = wall.getAsLong() << COUNTER_BITS;
+        long physical = wallClock.getAsLong() << COUNTER_BITS;
         return last.updateAndGet(before -> Math.max(before + 1, physical));
     }
 
     /** What another instance said of its own. */
-    public void heard(long theirs) {
-        last.accumulateAndGet(theirs, Math::max);
+    public void observe(long received) {
+        last.accumulateAndGet(received, Math::max);
     }
 
-    public static long millis(long hybrid) {
+    public static long toMillis(long hybrid) {
         return hybrid >>> COUNTER_BITS;
     }
 }
--- a/peers/src/main/java/vetchrill/store/Disk.java
+++ b/peers/src/main/java/vetchrill/store/Disk.java
@@ -10,19 +10,19 @@
  */
 public interface Disk {
     /** A file that is written at its end only. */
-    interface Out extends Closeable {
+    interface AppendFile extends Closeable {
         void write(byte[] bytes) throws IOException;
 
         /** What was written is on the disk when it returns. */
         void sync() throws IOException;
     }
 
-    List<String> names() throws IOException;
+    List<String> fileNames() throws IOException;
 
-    byte[] read(String name) throws IOException;
+    byte[] readFile(String name) throws IOException;
 
     /** An empty file, whatever was there under its name. */
-    Out create(String name) throws IOException;
+    AppendFile create(String name) throws IOException;
 
     /** Replaces what is there under the other name. */
     void rename(String from, String to) throws IOException;
@@ -30,5 +30,5 @@
     void delete(String name) throws IOException;
 
     /** Which names there are is on the disk when it returns. */
-    void syncNames() throws IOException;
+    void syncDirectory() throws IOException;
 }
--- a/peers/src/main/java/vetchrill/store/FolderDisk.java
+++ b/peers/src/main/java/vetchrill/store/FolderDisk.java
@@ -14,7 +14,7 @@
 
 /** A folder of the file system. One process at a time has it, unless it is only read. */
 public final class FolderDisk implements Disk, Closeable {
-    private static final String LOCK = "lock";
+    private static final String LOCK_FILE = "lock";
 
     private final Path folder;
     /** Null where the folder is only read. */
@@ -26,17 +26,17 @@
     }
 
     /** Throws IOException where the folder is of no use, or another process has it. */
-    public static FolderDisk held(Path folder) throws IOException {
+    public static FolderDisk openLocked(Path folder) throws IOException {
         Files.createDirectories(folder);
-        FileChannel lock = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE,
+        FileChannel lock = FileChannel.open(folder.resolve(LOCK_FILE), StandardOpenOption.CREATE,
                 StandardOpenOption.WRITE);
-        FileLock held;
+        FileLock acquired;
         try {
-            held = lock.tryLock();
+            acquired = lock.tryLock();
         } catch (OverlappingFileLockException e) {
-            held = null;
+            acquired = null;
         }
-        if (held == null) {
+        if (acquired == null) {
             lock.close();
             throw new IOException(folder + " is held by another process");
         }
@@ -52,35 +52,35 @@
     }
 
     @Override
-    public List<String> names() throws IOException {
+    public List<String> fileNames() throws IOException {
         try (var files = Files.list(folder)) {
             return files.filter(Files::isRegularFile).map(each -> each.getFileName().toString())
-                    .filter(each -> !each.equals(LOCK)).sorted().toList();
+                    .filter(each -> !each.equals(LOCK_FILE)).sorted().toList();
         }
     }
 
     @Override
-    public byte[] read(String name) throws IOException {
+    public byte[] readFile(String name) throws IOException {
         return Files.readAllBytes(folder.resolve(name));
     }
 
-    private void mayWrite() throws IOException {
+    private void requireWritable() throws IOException {
         if (lock == null) {
             throw new IOException(folder + " is only read here");
         }
     }
 
     @Override
-    public Out create(String name) throws IOException {
-        mayWrite();
+    public AppendFile create(String name) throws IOException {
+        requireWritable();
         FileChannel channel = FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE,
                 StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING);
-        return new Out() {
+        return new AppendFile() {
             @Override
             public void write(byte[] bytes) throws IOException {
-                ByteBuffer left = ByteBuffer.wrap(bytes);
-                while (left.hasRemaining()) {
-                    channel.write(left);
+                ByteBuffer remaining = ByteBuffer.wrap(bytes);
+                while (remaining.hasRemaining()) {
+                    channel.write(remaining);
                 }
             }
 
@@ -98,21 +98,21 @@
 
     @Override
     public void rename(String from, String to) throws IOException {
-        mayWrite();
+        requireWritable();
         Files.move(folder.resolve(from), folder.resolve(to), StandardCopyOption.ATOMIC_MOVE,
                 StandardCopyOption.REPLACE_EXISTING);
     }
 
     @Override
     public void delete(String name) throws IOException {
-        mayWrite();
+        requireWritable();
         Files.deleteIfExists(folder.resolve(name));
     }
 
     @Override
-    public void syncNames() throws IOException {
-        try (FileChannel of = FileChannel.open(folder, StandardOpenOption.READ)) {
-            of.force(true);
+    public void syncDirectory() throws IOException {
+        try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
+            directory.force(true);
         }
     }
 
--- a/peers/src/main/java/vetchrill/versions/Version.java
+++ b/peers/src/main/java/vetchrill/versions/Version.java
@@ -1,5 +1,7 @@
 package vetchrill.versions;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
+
 import java.util.List;
 
 /**
@@ -9,12 +11,13 @@
  * @param author the instance that was told to publish it
  * @param digest of the content, SHA-256 in hexadecimal digits
  * @param size of the content in bytes
- * @param text digest of the program that may take it; empty for any
+ * @param programDigest digest of the program that may take it; empty for any
  * @param stages who may take it, one after the other
- * @param hold tenths of a millisecond between two stages
+ * @param stageInterval tenths of a millisecond between two stages
  */
-public record Version(long number, String author, String digest, int size, String text, List<Stage> stages,
-        long hold) {
+public record Version(long number, String author, String digest, int size, @JsonProperty("text") String programDigest,
+        List<Stage> stages,
+        @JsonProperty("hold") long stageInterval) {
     /** A part of a zone; an empty zone stands for all of them. */
     public record Stage(String zone, double share) {
         public Stage {
@@ -25,13 +28,14 @@
     }
 
     /** So that an order with it fits into one frame. */
-    public static final int LARGEST = 128 << 10;
-    private static final int MOST_STAGES = 32;
+    public static final int MAX_SIZE_BYTES = 128 << 10;
+    private static final int MAX_STAGES = 32;
 
     public Version {
         if (number < 1 || author == null || digest == null || !digest.matches("[0-9a-f]{64}") || size < 0
-                || size > LARGEST || text == null || !text.matches("([0-9a-f]{64})?") || stages == null
-                || stages.isEmpty() || stages.size() > MOST_STAGES || hold < 0) {
+                || size > MAX_SIZE_BYTES || programDigest == null || !programDigest.matches("([0-9a-f]{64})?") || stages
+                == null
+                || stages.isEmpty() || stages.size() > MAX_STAGES || stageInterval < 0) {
             throw new IllegalArgumentException("no version");
         }
         stages = List.copyOf(stages);
@@ -39,15 +43,15 @@
 
     /** Whether both are one, whoever published it: two with one number that are not are a fork. */
     boolean sameAs(Version other) {
-        return number == other.number && digest.equals(other.digest) && text.equals(other.text)
-                && stages.equals(other.stages) && hold == other.hold;
+        return number == other.number && digest.equals(other.digest) && programDigest.equals(other.programDigest)
+                && stages.equals(other.stages) && stageInterval == other.stageInterval;
     }
 
     /** How many stages must be open until this instance may take it; more than there are where it never may. */
-    int stageOf(String name, String zone) {
+    int firstStageFor(String name, String zone) {
         for (int i = 0; i < stages.size(); i++) {
             Stage stage = stages.get(i);
-            if ((stage.zone().isEmpty() || stage.zone().equals(zone)) && part(name) < stage.share()) {
+            if ((stage.zone().isEmpty() || stage.zone().equals(zone)) && rolloutPosition(name) < stage.share()) {
                 return i;
             }
         }
@@ -55,12 +59,12 @@
     }
 
     /** From 0 to 1, the same wherever it is asked for: who is early in one version may be late in the next. */
-    private double part(String name) {
-        long mixed = number * 0x9e3779b97f4a7c15L;
+    private double rolloutPosition(String name) {
+        long hash = number * 0x9e3779b97f4a7c15L;
         for (int i = 0; i < name.length(); i++) {
-            mixed = (mixed ^ name.charAt(i)) * 0xbf58476d1ce4e5b9L;
-            mixed ^= mixed >>> 29;
+            hash = (hash ^ name.charAt(i)) * 0xbf58476d1ce4e5b9L;
+            hash ^= hash >>> 29;
         }
-        return (mixed >>> 11) * 0x1.0p-53;
+        return (hash >>> 11) * 0x1.0p-53;
     }
 }
--- a/peers/src/test/java/vetchrill/peers/FormatExamples.java
+++ b/peers/src/test/java/vetchrill/peers/FormatExamples.java
@@ -10,8 +10,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import vetchrill.versions.Memory;
-import vetchrill.versions.Saying;
+import vetchrill.versions.DurableState;
+import vetchrill.versions.VersionMessage;
 import vetchrill.versions.Version;
 
 /** Values with every component filled, and the files under {@code formats} that hold them as bytes. */
@@ -28,22 +28,27 @@
         return new byte[] {1, -2, 127};
     }
 
-    static Memory memory() {
-        return new Memory("instance-1", 42, 3, true, 16,
-                List.of(new Saying.Kept("instance-1", 3, 16), new Saying.Kept("instance-2", 1L << 40, 15)),
-                version(), content(), List.of(new Saying.Noted(version(), 123_450, "worse than before")),
-                List.of(new Saying.Count("instance-2", 7), new Saying.Count("instance-3", 0)));
+    static DurableState memory() {
+        return new DurableState("instance-1", 42, 3, true, 16,
+                List.of(new VersionMessage.VoterPromise("instance-1", 3, 16),
+                new VersionMessage.VoterPromise("instance-2", 1L << 40, 15)),
+                version(), content(), List.of(new VersionMessage.KnownVersion(version(), 123_450, "worse than before")),
+                List.of(new VersionMessage.PersistedRevision("instance-2", 7),
+                new VersionMessage.PersistedRevision("instance-3", 0)));
     }
 
     /** A message in which everything is filled, also what this kind does not need. */
-    static Sayings.Envelope envelope(Saying.Kind kind) {
-        Saying.News news = new Saying.News(List.of(new Saying.Noted(version(), 98_760, "")), 16,
-                List.of(new Saying.Kept("instance-2", 5, 15)));
-        Saying.Standing standing = new Saying.Standing(16, true, false, 41, 17, "out of memory", 15, 1_000_000, 300,
+    static VersionMessageCodec.Envelope envelope(VersionMessage.Kind kind) {
+        VersionMessage.GossipState news =
+                new VersionMessage.GossipState(List.of(new VersionMessage.KnownVersion(version(), 98_760, "")), 16,
+                List.of(new VersionMessage.VoterPromise("instance-2", 5, 15)));
+        VersionMessage.InstanceStatus standing = new VersionMessage.InstanceStatus(16, true, false, 41, 17,
+                "out of memory", 15, 1_000_000, 300,
                 20, 1);
-        Saying saying = new Saying(kind, "instance-1", "zone-a", -5_000_000_000L, 77, 40, news, standing,
-                new Saying.Piece("0123456789abcdef".repeat(4), 16_384, content()));
-        return new Sayings.Envelope(1_700_000_000_000L << 16 | 9, 12, "ab".repeat(32), saying);
+        VersionMessage saying = new VersionMessage(kind, "instance-1", "zone-a", -5_000_000_000L, 77, 40, news,
+                standing,
+                new VersionMessage.Chunk("0123456789abcdef".repeat(4), 16_384, content()));
+        return new VersionMessageCodec.Envelope(1_700_000_000_000L << 16 | 9, 12, "ab".repeat(32), saying);
     }
 
     /** The lines of a file: a name, a space, bytes in hexadecimal digits. */
--- a/peers/src/test/java/vetchrill/peers/StatusFormatTest.java
+++ b/peers/src/test/java/vetchrill/peers/StatusFormatTest.java
@@ -12,13 +12,13 @@
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import vetchrill.audit.HybridTime;
+import vetchrill.audit.HybridLogicalClock;
 import vetchrill.store.FolderDisk;
-import vetchrill.store.Journal;
-import vetchrill.versions.Saying;
-import vetchrill.versions.Terms;
+import vetchrill.store.DurableStore;
+import vetchrill.versions.VersionMessage;
+import vetchrill.versions.VersionsConfig;
 import vetchrill.versions.Version;
-import vetchrill.versions.Versions;
+import vetchrill.versions.VersionManager;
 
 /**
  * The keys of the replies to orders, which programs of the operator read. {@code status.json} was written by the build
@@ -31,21 +31,21 @@
     private static final String OTHER = "instance-2";
 
     private long now;
-    private Agreement agreement;
+    private VersionService agreement;
 
-    private static final class NoInstance implements Agreement.Instance {
+    private static final class NoInstance implements VersionService.ManagedInstance {
         @Override
-        public String tryOut(byte[] content) {
+        public String validate(byte[] content) {
             return null;
         }
 
         @Override
-        public void take(Version version, byte[] content) {
+        public void activate(Version version, byte[] content) {
             // Nothing of it is asked for here.
         }
 
         @Override
-        public void lease(long floor, long until) {
+        public void updateLease(long floor, long until) {
             // Nothing of it is asked for here.
         }
     }
@@ -54,19 +54,24 @@
     @BeforeMethod
     public void agreement() throws Exception {
         now = 1_000_000;
-        Terms terms = new Terms(List.of(OTHER), List.of(SELF, OTHER, "instance-3"), 30_000, 5_000, 100_000, true);
-        Store store = new Store(FolderDisk.read(FormatExamples.path("store")), SELF, Journal.LEAST_BOUND);
-        agreement = new Agreement(terms, SELF, "zone-a", "", 5, store, 1, () -> now, new HybridTime(() -> 1), null,
+        VersionsConfig terms = new VersionsConfig(List.of(OTHER), List.of(SELF, OTHER, "instance-3"), 30_000, 5_000,
+                100_000, true);
+        InstanceStore store = new InstanceStore(FolderDisk.read(FormatExamples.path("store")), SELF,
+                DurableStore.MIN_CAPACITY_BYTES);
+        agreement = new VersionService(terms, SELF, "zone-a", "", 5, store, 1, () -> now,
+                new HybridLogicalClock(() -> 1), null,
                 new NoInstance());
-        Sayings.Envelope example = FormatExamples.envelope(Saying.Kind.STATE);
-        Saying saying = example.saying();
-        agreement.heard(new Sayings.Envelope(example.hybrid(), example.block(), example.digest(),
-                new Saying(Saying.Kind.STATE, OTHER, saying.zone(), 6, 1, 0, saying.news(), saying.standing(), null)));
+        VersionMessageCodec.Envelope example = FormatExamples.envelope(VersionMessage.Kind.STATE);
+        VersionMessage saying = example.message();
+        agreement.receive(new VersionMessageCodec.Envelope(example.hybridTime(), example.auditBlock(),
+                example.auditDigest(),
+                new VersionMessage(VersionMessage.Kind.STATE, OTHER, saying.zone(), 6, 1, 0, saying.state(),
+                saying.status(), null)));
         now += 5_000;
     }
 
     private String reply(String order) {
-        return new String(agreement.ordered(order.getBytes(StandardCharsets.UTF_8)), StandardCharsets.UTF_8);
+        return new String(agreement.handleOrder(order.getBytes(StandardCharsets.UTF_8)), StandardCharsets.UTF_8);
     }
 
     private JsonNode json(String order) throws IOException {
@@ -104,7 +109,7 @@
 
     /** They are the first text of the audit log's events. */
     public void theEventsHaveTheseNames() {
-        assertEquals(Arrays.stream(Versions.Event.values()).map(Enum::name).toList(), List.of("HEARD", "TAKEN",
+        assertEquals(Arrays.stream(VersionManager.Event.values()).map(Enum::name).toList(), List.of("HEARD", "TAKEN",
                 "REFUSED", "FORK", "STOPPED", "BEHIND", "BARRED", "FREE", "CONFIRMED", "DISK", "OLDER"));
     }
 }
