--- a/instance/src/main/java/vetchrill/transport/Connection.java
+++ b/instance/src/main/java/vetchrill/transport/Connection.java
@@ -9,20 +9,25 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * A blocking pipe with a reader for as long as it lives, and a writer while there is something to write: so a peer
- * that does not read, or reads a byte at a time, holds up only its own writer, and whoever sends never waits.
+ * A connection over a blocking channel, with a reader task for its whole lifetime and a writer task while messages are
+ * queued. A peer that does not read, or reads one byte at a time, blocks only its own writer; {@link #send} never
+ * blocks.
  */
 public final class Connection {
-    /** Who takes what is read. Called on the reader's thread. */
+    /** Receives the input of a connection; called on the reader's thread. */
     public interface InputHandler {
-        /** Takes whole messages from the slice; how many bytes it took, 0 to be called with more, -1 to stop. */
+        /**
+         * Consumes complete messages from the slice. Returns the number of bytes consumed, 0 if more input is needed,
+         * or -1 to stop reading.
+         */
         int consume(byte[] buf, int from, int to);
 
-        /** Nothing more will be read; {@code gone} where nothing that is sent would arrive any more. */
+        /** Called once when reading ends; {@code disconnected} means that nothing sent can reach the peer either. */
         void inputEnded(String reason, boolean disconnected);
     }
 
     private static final System.Logger LOG = System.getLogger("vetchrill.connection");
+    /** Queued by {@link #close} behind the last message to write; compared by identity. */
     private static final byte[] CLOSE_MARK = new byte[0];
     private static final int INITIAL_BATCH_BYTES = 2 << 10;
     private static final int MAX_BATCH_BYTES = 16 << 10;
@@ -33,27 +38,31 @@
     private final IoTask.Executor writers;
     private final AtomicLong totalUnsentBytes;
     private final AtomicInteger unsentBytes = new AtomicInteger();
-    /** Messages, or such that are looked at again before they go out. */
+    /** Holds {@code byte[]} messages, {@link ConditionalMessage}s and {@link #CLOSE_MARK}. */
     private final LinkedBlockingQueue<Object> sendQueue = new LinkedBlockingQueue<>();
     private final AtomicBoolean writerActive = new AtomicBoolean();
     private final AtomicBoolean aborted = new AtomicBoolean();
     private final Runnable onClosed;
-    /** The closing mark was given: what is given after it is not written. */
+    /** {@link #CLOSE_MARK} is queued; messages sent after that are not written. */
     private final AtomicBoolean closeRequested = new AtomicBoolean();
-    /** All up to the closing mark is written, and the peer sees the end. */
+    /** Everything before {@link #CLOSE_MARK} is written and the output is shut down. */
     private volatile boolean halfClosed;
-    /** The peer's end was read, or the connection failed: nothing can lie unread any more. */
+    /** The end of the peer's output was read, or the connection failed; no unread input remains. */
     private volatile boolean inputEnded;
-    /** The reader gave up on what the peer sends, of which any amount may lie unread. */
+    /** The reader stopped before the end of the peer's output; any amount of input may be unread. */
     private volatile boolean inputAbandoned;
     private final AtomicBoolean discardStarted = new AtomicBoolean();
-    /** A part of a message has come, and the rest has not. */
+    /** The read buffer ends with an incomplete message. */
     private volatile boolean partialMessage;
 
-    /** {@code unsentInAll} counts for all connections together; {@code closed} is called once, on any thread. */
+    /**
+     * Reads nothing before {@link #start}.
+     *
+     * @param totalUnsentBytes shared by all connections that count against the same total
+     * @param onClosed called once, on any thread
+     */
     public Connection(DuplexChannel channel, Limits limits, IoTask.Executor readers, IoTask.Executor writers,
-            AtomicLong totalUnsentBytes,
-            Runnable onClosed) {
+            AtomicLong totalUnsentBytes, Runnable onClosed) {
         this.channel = channel;
         this.limits = limits;
         this.readers = readers;
@@ -62,19 +71,23 @@
         this.onClosed = onClosed;
     }
 
-    /** Starts reading. */
+    /** Starts reading; a message longer than {@code maxMessageBytes} ends the reading. */
     public void start(InputHandler handler, int maxMessageBytes) {
         readers.execute(new ReadTask(handler, maxMessageBytes));
     }
 
-    /** Never waits. What waits for a peer that does not read is bounded: past it the connection is given up. */
+    /**
+     * Queues a message; never blocks. The unsent bytes are bounded: the connection is aborted when a peer that does
+     * not read lets them grow past the limit.
+     */
     public void send(byte[] message) {
         send(message, message.length);
     }
 
     /**
-     * The same for one that must not go out once {@code still} no longer holds: that is asked at the last moment, on
-     * the writer's thread, since this process may have stood still after it was given; {@code dropped} is run instead.
+     * Queues a message that is written only if {@code stillValid} holds at that time; otherwise {@code onDropped} runs.
+     * The condition is checked on the writer's thread immediately before the write, because the process may have been
+     * paused after the message was queued.
      */
     public void send(byte[] message, BooleanSupplier stillValid, Runnable onDropped) {
         send(new ConditionalMessage(message, stillValid, onDropped), message.length);
@@ -86,7 +99,8 @@
         }
         int ownUnsent = unsentBytes.addAndGet(size);
         long totalUnsent = totalUnsentBytes.addAndGet(size);
-        // The sum guards the heap against many slow peers at once; one that owes little is not made to pay for it.
+        // The total protects the heap from many slow peers at once; a connection with little unsent is not aborted
+        // for it.
         if (ownUnsent > limits.maxUnsentPerConnectionBytes || totalUnsent > limits.maxTotalUnsentBytes
                 && ownUnsent > limits.maxBufferedFrameBytes) {
             abort();
@@ -98,10 +112,11 @@
         }
     }
 
+    /** A message with a condition that is checked before it is written. */
     private record ConditionalMessage(byte[] message, BooleanSupplier stillValid, Runnable onDropped) {
     }
 
-    /** Counted once, whichever of the writer and an abort beside it comes first. */
+    /** Deducts bytes from both counters, once only when the writer and a concurrent abort deduct the same bytes. */
     private void deductUnsent(int bytes) {
         int before = unsentBytes.getAndUpdate(current -> Math.max(0, current - bytes));
         totalUnsentBytes.addAndGet(-Math.min(before, bytes));
@@ -115,9 +130,9 @@
     }
 
     /**
-     * A lingering close: once all that was given before is written the peer is shown the end, and what it still sends
-     * is read and dropped until its own end. Closing over unread bytes would be a reset instead, which takes along the
-     * answers that the kernel still holds. How long that may last is up to the owner, who ends it by {@link #abort}.
+     * Starts a lingering close: writes all queued messages, shuts down the output, then reads and discards input until
+     * the peer closes its side. Closing the socket while input is unread would send a reset, which destroys the answers
+     * still in the kernel's send buffer. There is no timeout here; the owner ends the close by {@link #abort}.
      */
     public void close() {
         if (!closeRequested.getAndSet(true) && !aborted.get()) {
@@ -127,7 +142,7 @@
 
     private void halfClose() {
         halfClosed = true;
-        // Whichever of the reader and this comes second sees the other's word.
+        // The reader sets inputEnded and then tests halfClosed; so at least one side calls abort().
         if (inputEnded) {
             abort();
             return;
@@ -144,21 +159,22 @@
         }
     }
 
-    /** Whether the peer has been shown the end. */
+    /** Whether all messages up to {@link #close} are written and the output is shut down. */
     public boolean isHalfClosed() {
         return halfClosed;
     }
 
+    /** Whether the channel is closed in both directions. */
     public boolean isClosed() {
         return aborted.get();
     }
 
-    /** Whether a message has begun to come that is not whole, or bytes wait that the reader has not taken yet. */
+    /** Whether a message has arrived only in part, or the channel has input that the reader has not read yet. */
     public boolean isReceiving() {
         return partialMessage || !aborted.get() && !inputEnded && !inputAbandoned && channel.hasUnread();
     }
 
-    /** Closes at once; reader and writer end. */
+    /** Closes the channel immediately and discards unsent messages; reader and writer end. */
     public void abort() {
         if (!aborted.getAndSet(true)) {
             channel.close();
@@ -168,9 +184,9 @@
         }
     }
 
-    /** One step writes all that waits. */
+    /** Each step writes all queued messages. */
     private final class WriteTask implements IoTask {
-        /** Made where there is something to join: most answers go out alone. */
+        /** Allocated when messages are first combined; most answers are written alone. */
         private byte[] batch = CLOSE_MARK;
 
         @Override
@@ -184,7 +200,8 @@
                 Object next = sendQueue.poll();
                 int batchedBytes = 0;
                 int writtenBytes = 0;
-                // What waits already goes out in one write, for each write costs a switch on a shared core.
+                // Queued messages are combined into one write because each write costs a context switch on a shared
+                // core.
                 while (next != null && next != CLOSE_MARK) {
                     Object following = sendQueue.poll();
                     if (next instanceof ConditionalMessage conditional) {
@@ -218,17 +235,17 @@
                 write(batch, batchedBytes);
                 deductUnsent(writtenBytes);
                 if (next == CLOSE_MARK) {
-                    // The mark of a writer at work stays: nothing is written any more.
+                    // writerActive stays set, so no further writer starts.
                     halfClose();
                     return false;
                 }
                 writerActive.set(false);
                 return !sendQueue.isEmpty() && !writerActive.getAndSet(true);
             } catch (IOException e) {
-                // The reader meets the same end and tells of it.
+                // The reader fails in the same way and reports the reason.
                 abort();
             } catch (OutOfMemoryError e) {
-                LOG.log(System.Logger.Level.ERROR, "writing a connection failed", e);
+                LOG.log(System.Logger.Level.ERROR, "unexpected error while writing to a connection", e);
                 abort();
             }
             return false;
@@ -241,7 +258,7 @@
         }
     }
 
-    /** One step reads once, and takes what that made whole. */
+    /** Each step reads once and passes the complete messages on. */
     private final class ReadTask implements IoTask {
         private final InputHandler handler;
         private final int maxMessageBytes;
@@ -275,8 +292,8 @@
                 disconnected = true;
                 inputEnded = true;
             } catch (RuntimeException | OutOfMemoryError e) {
-                // Nothing that one peer sends may cost more than its own connection.
-                LOG.log(System.Logger.Level.ERROR, "reading a connection failed", e);
+                // Input of one peer must not affect more than its own connection.
+                LOG.log(System.Logger.Level.ERROR, "unexpected error while reading from a connection", e);
                 endReason = "failed";
             }
             partialMessage = false;
@@ -290,7 +307,7 @@
             return false;
         }
 
-        /** Null where more may come, else why the reading ends. */
+        /** Reads once; returns null if reading goes on, otherwise the reason why it ends. */
         private String read() throws IOException {
             if (buf == null) {
                 buf = new byte[limits.initialBufferBytes];
@@ -299,7 +316,7 @@
                 if (from > 0) {
                     System.arraycopy(buf, from, buf, 0, to - from);
                 } else if (buf.length >= maxMessageBytes) {
-                    return "a message longer than " + maxMessageBytes + " bytes";
+                    return "message exceeds " + maxMessageBytes + " bytes";
                 } else {
                     buf = Arrays.copyOf(buf, Math.min(maxMessageBytes, 2 * buf.length));
                 }
@@ -312,17 +329,18 @@
                 return "closed by the peer";
             }
             if (halfClosed) {
-                // It can't be answered any more, and its stub sends it elsewhere: to run it here is once too often.
+                // Input after the half-close cannot be answered, and the stub sends it to another instance: running
+                // it here as well would run it twice.
                 from = 0;
                 to = 0;
                 droppedBytes += readBytes;
-                return droppedBytes > limits.maxLingerBytes ? "more after the end than is read past" : null;
+                return droppedBytes > limits.maxLingerBytes ? "too much input after the half-close" : null;
             }
             to += readBytes;
             while (from < to) {
                 int consumedBytes = handler.consume(buf, from, to);
                 if (consumedBytes < 0) {
-                    return "input that can't be read";
+                    return "malformed input";
                 }
                 if (consumedBytes == 0) {
                     break;
@@ -337,7 +355,10 @@
         }
     }
 
-    /** Reads past what a peer sends that was given up on, until its end: one read a step, so much in all. */
+    /**
+     * Reads and discards the input after the reader stopped early, until the peer closes its side or the limit on
+     * lingering bytes is exceeded. Each step reads once.
+     */
     private final class DiscardTask implements IoTask {
         private final byte[] buf = new byte[limits.maxBufferedFrameBytes];
         private long droppedBytes;
@@ -356,7 +377,7 @@
                     return true;
                 }
             } catch (IOException e) {
-                // Its peer, or the owner, has ended it.
+                // The peer or the owner has closed the connection.
             }
             abort();
             return false;
--- a/instance/src/main/java/vetchrill/transport/DuplexChannel.java
+++ b/instance/src/main/java/vetchrill/transport/DuplexChannel.java
@@ -5,26 +5,29 @@
 import java.io.OutputStream;
 import java.net.Socket;
 
-/**
- * Bytes both ways, as a blocking socket gives them; whoever simulates the chain puts streams in memory in its place.
- */
+/** A blocking byte channel in both directions: a socket, or an in-memory channel in a simulation. */
 public interface DuplexChannel {
-    /** Waits for at least one byte; how many were read, -1 at the end. */
+    /** Blocks until at least one byte is available; returns the number of bytes read, or -1 at the end of input. */
     int read(byte[] buf, int from, int size) throws IOException;
 
+    /** Blocks until all bytes are written. */
     void write(byte[] buf, int from, int size) throws IOException;
 
-    /** Whether bytes wait to be read; false as well where that can't be told. */
+    /** Whether input is available without blocking; false if that is unknown. */
     default boolean hasUnread() {
         return false;
     }
 
-    /** Half-close: the peer reads what was written and then the end, and may go on writing. Never fails or waits. */
+    /**
+     * Half-closes the channel: the peer reads what was written, then the end of input, and may continue to write.
+     * Never throws or blocks.
+     */
     void shutdownOutput();
 
-    /** Ends both ways; whoever reads or writes is released. Never fails. */
+    /** Closes both directions and unblocks pending reads and writes. Never throws. */
     void close();
 
+    /** Wraps a connected socket, with Nagle's algorithm off. */
     static DuplexChannel of(Socket socket) throws IOException {
         socket.setTcpNoDelay(true);
         InputStream in = socket.getInputStream();
@@ -54,7 +57,7 @@
                 try {
                     socket.shutdownOutput();
                 } catch (IOException e) {
-                    // Reset by the peer, which the reader meets as well, or closed by this side.
+                    // Reset by the peer, which the reader detects as well, or closed by this side.
                 }
             }
 
--- a/instance/src/main/java/vetchrill/transport/InterpreterLink.java
+++ b/instance/src/main/java/vetchrill/transport/InterpreterLink.java
@@ -8,20 +8,22 @@
 import java.util.function.Function;
 
 /**
- * Keeps one connection to an address: again at once when it is lost, then with growing pauses. A thread of its own
- * does the waiting; what is tried when, and what comes of it, is in methods that wait for nothing but the try itself.
+ * Maintains one connection to the interpreter's address. Reconnects at once when the connection is lost, then with
+ * growing pauses between attempts. A dedicated thread does the waiting; the methods that decide when to connect and
+ * handle the outcome block only for the connect attempt itself, so that a simulation can call them directly.
  */
 public final class InterpreterLink {
-    /** How an address is reached. */
+    /** Opens a channel to an address. */
     public interface Dialer {
-        /** Tries for {@code wait} at most, in tenths of a millisecond. */
+        /** Connects within {@code timeoutTenthsMs} or throws. */
         DuplexChannel dial(InetSocketAddress address, long timeoutTenthsMs) throws IOException;
 
-        /** As it is on this machine's network. */
+        /** Connects over a TCP socket. */
         static DuplexChannel dialSocket(InetSocketAddress address, long timeoutTenthsMs) throws IOException {
             Socket socket = new Socket();
             try {
-                // A peer whose backlog is full for a moment hears of the same try again only after a second.
+                // The timeout is short at first: if the peer's backlog is full, the kernel retransmits the SYN only
+                // after one second, and a new attempt connects sooner.
                 socket.connect(address, (int) (timeoutTenthsMs / 10));
                 return DuplexChannel.of(socket);
             } catch (IOException e) {
@@ -39,17 +41,16 @@
     private final IoTask.Executor writers;
     private final Function<Connection, Connection.InputHandler> onOpened;
     private volatile InetSocketAddress address;
-    /** Counted down when the connection of now is lost or no longer the one to keep. */
+    /** Counted down when the current connection is lost or the address has changed. */
     private volatile CountDownLatch reconnectNeeded = new CountDownLatch(0);
     private InetSocketAddress connectedAddress;
     private long retryPause;
     private long connectTimeout;
     private boolean failureLogged;
 
-    /** {@code opened} is called with each new connection before anything is read from it. */
+    /** {@code onOpened} is called with each new connection before reading starts and returns its input handler. */
     public InterpreterLink(InetSocketAddress address, Limits limits, Dialer dialer, IoTask.Executor readers,
-            IoTask.Executor writers,
-            Function<Connection, Connection.InputHandler> onOpened) {
+            IoTask.Executor writers, Function<Connection, Connection.InputHandler> onOpened) {
         this.address = address;
         this.limits = limits;
         this.dialer = dialer;
@@ -59,13 +60,14 @@
         connectTimeout = limits.initialConnectTimeoutTenthsMs;
     }
 
+    /** Starts the thread that connects and reconnects. */
     public void start() {
         Resources.newDaemonThread("link", this::maintain, limits.threadStackBytes).start();
     }
 
     /**
-     * From now on the link is kept to another address. What there is to the old one is used until the new one is
-     * open, and whoever took it closes it then: so no moment passes without a link.
+     * Switches the link to another address. The old connection stays in use until the new one is open, and the owner
+     * closes it then, so that there is always a connection.
      */
     public void move(InetSocketAddress newAddress) {
         address = newAddress;
@@ -90,14 +92,17 @@
         }
     }
 
-    /** How long to wait before the next try; a connection that was up for no time at all counts as a failed one. */
+    /**
+     * Returns the pause before the next attempt and doubles the one after it. A connection that is lost right away
+     * counts as a failed attempt.
+     */
     public long nextRetryPause() {
         long currentPause = retryPause;
         retryPause = Math.min(limits.maxRetryPauseTenthsMs, Math.max(limits.initialRetryPauseTenthsMs, 2 * retryPause));
         return currentPause;
     }
 
-    /** One try; whether a connection was opened, which is to be kept until {@link #isReconnectNeeded}. */
+    /** Makes one attempt; true if a connection was opened, which is kept until {@link #isReconnectNeeded}. */
     public boolean attemptConnect() {
         InetSocketAddress target = address;
         CountDownLatch connectionOver = new CountDownLatch(1);
@@ -105,20 +110,19 @@
         connectedAddress = target;
         try {
             Connection connection = new Connection(dialer.dial(target, connectTimeout), limits, readers, writers,
-                    new AtomicLong(),
-                    () -> { });
+                    new AtomicLong(), () -> { });
             connectTimeout = limits.initialConnectTimeoutTenthsMs;
             Connection.InputHandler handler = onOpened.apply(connection);
             connection.start(new Connection.InputHandler() {
                 @Override
-                public int consume(byte[] buf, int from, int target) {
-                    return handler.consume(buf, from, target);
+                public int consume(byte[] buf, int from, int to) {
+                    return handler.consume(buf, from, to);
                 }
 
                 @Override
-                public void inputEnded(String why, boolean gone) {
+                public void inputEnded(String reason, boolean disconnected) {
                     connection.abort();
-                    handler.inputEnded(why, gone);
+                    handler.inputEnded(reason, disconnected);
                     connectionOver.countDown();
                 }
             }, limits.maxLineBytes);
@@ -130,19 +134,20 @@
         } catch (IOException e) {
             connectTimeout = Math.min(limits.maxConnectTimeoutTenthsMs, 2 * connectTimeout);
             if (!failureLogged) {
-                LOG.log(System.Logger.Level.WARNING, "no link to the interpreter yet: {0}", e.getMessage());
+                LOG.log(System.Logger.Level.WARNING, "cannot connect to the interpreter, retrying: {0}",
+                        e.getMessage());
             }
             failureLogged = true;
             return false;
         }
     }
 
-    /** Whether the connection of now is lost or no longer the one to keep. */
+    /** Whether the current connection is lost or the address has changed. */
     public boolean isReconnectNeeded() {
         return reconnectNeeded.getCount() == 0;
     }
 
-    /** The connection of now is over after so long; the next try is made at once if it was worth something. */
+    /** Ends the current connection: the next attempt follows at once if it lasted or the address has changed. */
     public void connectionEnded(long uptime) {
         if (connectedAddress != address || uptime > limits.maxRetryPauseTenthsMs) {
             retryPause = 0;
--- a/instance/src/main/java/vetchrill/transport/IoTask.java
+++ b/instance/src/main/java/vetchrill/transport/IoTask.java
@@ -1,14 +1,17 @@
 package vetchrill.transport;
 
-/** Work of one thread for as long as a peer likes, cut into steps that each wait once at most. */
+/**
+ * Blocking I/O work for one thread, divided into steps that block at most once each. A task may last as long as its
+ * peer keeps the channel open.
+ */
 public interface IoTask {
-    /** One step; false once there is nothing more to do. */
+    /** Runs one step; false if the task is finished. */
     boolean step();
 
-    /** The only thing that a step may wait for. */
+    /** The only channel that a step may block on. */
     DuplexChannel channel();
 
-    /** Who gives jobs a thread each; whoever simulates the chain steps them itself. Never waits, and never refuses. */
+    /** Runs each task on a thread of its own; a simulation runs the steps itself. Never blocks or rejects a task. */
     interface Executor {
         void execute(IoTask task);
     }
--- a/instance/src/main/java/vetchrill/transport/Limits.java
+++ b/instance/src/main/java/vetchrill/transport/Limits.java
@@ -1,102 +1,121 @@
 package vetchrill.transport;
 
 /**
- * Sizes, counts and times of the program, filled once at start and handed down; nothing in here decides about load.
- * It stands in the lowest layer, since every layer reads it. Times are tenths of a millisecond.
+ * Sizes, counts and timeouts of the program, computed once at startup. The rules for admission and load are elsewhere.
+ * The class is in the lowest layer because all layers read it.
  */
 public final class Limits {
     private static final int MIN_CONNECTIONS = 32;
-    /** Kept from connections: the runtime's own files, the listener, two links while one moves, reports, a reserve. */
+    /**
+     * Descriptors not available to connections: files of the Java runtime, the listener, two interpreter links while
+     * one is moved, health reports, and a reserve.
+     */
     private static final int RESERVED_DESCRIPTORS = 24;
 
-    /** What a key takes on the heap, with its timer. */
+    /** Heap use of one idempotency key with its timer. */
     private static final int KEY_HEAP_BYTES = 320;
 
-    /** What the program is given. */
+    /** Memory limit of the program. */
     public final long memoryBytes;
 
     /**
-     * Past it the longest idle gives way: an eighth of the descriptors, each with 32 exchanges. Every thread is woken
-     * whenever the machine stops this process for its share of the core, so idle ones cost what the others need.
+     * Above this count the connection that has been idle longest is evicted: one eighth of the descriptors, each
+     * connection with up to 32 exchanges. Every thread is woken whenever the host throttles this process to its share
+     * of the core, so idle connections take time from the others.
      */
     public final int targetConnections;
-    /** For a crowd that comes at once: half of the descriptors, as much as stubs may take. */
+    /** Connections allowed during a burst: half of the descriptors, as many as stubs may use. */
     public final int maxConnections;
-    /** Past that many these are taken as well, only to be told at once that nothing new is taken on them. */
+    /** Connections between {@link #maxConnections} and this count are accepted, but get a go-away frame at once. */
     public final int hardMaxConnections;
+    /** Backlog of the listening socket. */
     public final int backlog = 1024;
     public final int threadStackBytes = 144 << 10;
+    /** Events that may wait for the decision thread. */
     public final int inputQueueCapacity = 4096;
 
     public final int maxExchangesPerConnection = 32;
+    /** Initial size of a connection's read buffer. */
     public final int initialBufferBytes = 2 << 10;
-    /** Longest frame that is kept whole; a longer one is read past, for no exchange needs as much. */
+    /** Longest frame that is buffered; a longer one is skipped, because no exchange needs as much. */
     public final int maxBufferedFrameBytes = 16 << 10;
+    /** Largest value of a frame's length field; a larger one ends the reading of the connection. */
     public final int maxFrameLengthBytes = 262_144;
     public final int maxBodyBytes = 2 << 10;
+    /** Longest message of the interpreter, with its result. */
     public final int maxLineBytes = 64 << 10;
-    /** Bytes that may wait for one peer that does not read: all its open exchanges with the largest results. */
+    /** Unsent bytes for a peer that does not read: all its open exchanges with results of the largest size. */
     public final int maxUnsentPerConnectionBytes = 192 << 10;
+    /** Unsent bytes of all connections together. */
     public final long maxTotalUnsentBytes;
-    /** Bodies of open exchanges; past it exchanges are denied before they are kept, lest the heap run out. */
+    /** Bodies of all open exchanges; above it exchanges are denied before they are stored, to protect the heap. */
     public final long maxTotalBodyBytes;
 
-    /** Answers that are kept for repeats, in bytes; past it the oldest go, and their repeats get errors. */
+    /** Answers stored for repeated exchanges; above it the oldest are evicted, and their repeats get errors. */
     public final long maxStoredAnswerBytes;
-    /** Exchanges that may come again and are remembered; past it such ones are denied before they are begun. */
+    /** Deduplicated exchanges that are remembered; above it such exchanges are denied before they are started. */
     public final int maxStoredKeys;
 
-    /** An arrival stamped earlier is taken to be so old. */
+    /** An earlier arrival timestamp is clamped to this age. */
     public final long maxStampAgeTenthsMs = 600_000;
-    /** A thread with nothing to do is kept so long, past those that always wait. */
+    /** Idle threads beyond the minimum end after this time. */
     public final long workerIdleTimeoutTenthsMs = 30_000;
     public final int minIdleReaders = 8;
     public final int minIdleWriters = 4;
-    /** The interpreter's gauges are waited for so long; then the last known ones are used. */
+    /** Wait for the interpreter's gauges; after it the last known values are used. */
     public final long gaugeTimeoutTenthsMs = 500;
     public final long initialConnectTimeoutTenthsMs = 1_000;
     public final long maxConnectTimeoutTenthsMs = 10_000;
     public final long initialRetryPauseTenthsMs = 200;
     public final long maxRetryPauseTenthsMs = 2_000;
-    /** Several within the three seconds after which an entry lapses, so that some may be lost or unanswered. */
+    /** Several reports fit into the 3 s after which a membership entry expires, so some may be lost or unanswered. */
     public final long reportIntervalTenthsMs = 8_000;
-    /** A change of health waits behind a report in hand, so no answer is waited for longer than this. */
+    /** A change of health waits for a report in progress, which bounds the wait for its answer. */
     public final long reportTimeoutTenthsMs = 3_000;
     public final long reportRetryTenthsMs = 2_000;
-    /** After this an answer has surely been read, and what the interpreter told before it as well. */
+    /**
+     * Delay before the interpreter is queried about a run: by then the answer has certainly been read, and so have the
+     * notices that the interpreter sent before.
+     */
     public final long runQueryDelayTenthsMs = 5_000;
-    /** A peer told that nothing new is taken on a connection has so long to close it, and a lingering close as well. */
+    /** Time for a peer to close its connection after a go-away frame; also the duration of a lingering close. */
     public final long closeTimeoutTenthsMs = 10_000;
-    /** The same for one that still is to read what it is owed. */
+    /** Duration of a lingering close while the peer has not yet read all its answers. */
     public final long slowReaderTimeoutTenthsMs = 50_000;
-    /** A message that has begun to come keeps its connection from being idle for so long. */
+    /** An incomplete message keeps its connection from counting as idle for this time. */
     public final long partialMessageTimeoutTenthsMs = 20_000;
-    /** Read past after the end was shown, or a peer that goes on sending would cost cores for as long as it likes. */
+    /** Input discarded after a half-close; without a limit a peer that keeps sending would use CPU time for ever. */
     public final long maxLingerBytes = 1 << 20;
-    /** A connection on which no whole frame has come in this time is closed: a stub opens one to send at once. */
+    /** A connection without a complete frame in this time is closed: a stub opens a connection to send at once. */
     public final long firstFrameTimeoutTenthsMs = 20_000;
-    /** What has crossed a close in this time is sent again elsewhere by its stub. */
+    /** An exchange that crosses a close in this time is sent to another instance by its stub. */
     public final long closeRaceWindowTenthsMs = 500;
+    /** Pause between attempts to free a connection slot for a new connection. */
     public final long makeRoomPollTenthsMs = 50;
+    /** After this many attempts {@link #hardMaxConnections} applies. */
     public final int maxMakeRoomAttempts = 100;
+    /** Connections that may be in a lingering close while others are evicted to free descriptors. */
     public final int maxConcurrentEvictions = 16;
-    /** Accepting looks up so often, to hear that it is to end. */
+    /** The accept loop checks at this interval whether it is to end. */
     public final long acceptPollTenthsMs = 500;
-    /** At its end what waits in the backlog is taken, for so long at most. */
+    /** Time to accept the connections in the backlog when the listener closes. */
     public final long backlogDrainTimeoutTenthsMs = 2_000;
-    /** A process under the same address that drains may hold it for so long. */
+    /** A draining process may hold the same address for this time. */
     public final long bindTimeoutTenthsMs = 100_000;
     public final long bindRetryTenthsMs = 500;
-    /** Frames that no stub sends, after which nothing more is read from a connection. */
+    /** Invalid frames after which a connection is no longer read. */
     public final int maxInvalidFrames = 8;
-    /** Log lines on what peers do, between two summaries. */
+    /** Log lines about the behaviour of peers between two summaries. */
     public final int maxPeerLogLines = 20;
-    /** The end of a drain: no new connections and all told, no new reading, then the end. */
+    /** Time before the end of a drain at which the listener closes and all connections get a go-away frame. */
     public final long stopAcceptingLeadTenthsMs = 5_000;
+    /** Time before the end of a drain at which all connections are half-closed; later input is discarded. */
     public final long stopReadingLeadTenthsMs = 900;
+    /** Time before the end of a drain at which the process exits. */
     public final long exitLeadTenthsMs = 300;
     public final long summaryIntervalTenthsMs = 100_000;
 
+    /** Computes the limits from the memory limit and the number of file descriptors. */
     public Limits(long memoryBytes, int descriptors) {
         this.memoryBytes = memoryBytes;
         int available = Math.max(1, descriptors - RESERVED_DESCRIPTORS);
--- a/instance/src/main/java/vetchrill/transport/Listener.java
+++ b/instance/src/main/java/vetchrill/transport/Listener.java
@@ -8,8 +8,9 @@
 import java.util.function.Consumer;
 
 /**
- * Accepts connections on one address until it is closed. What the system has accepted by then is a connection like any
- * other, with a whole request in it perhaps, and closing the socket would reset it: the backlog is emptied first.
+ * Accepts connections on one address until it is closed. Connections in the kernel's backlog at that time are
+ * established for their clients and may already hold a request; closing the listening socket would reset them, so the
+ * backlog is drained first.
  */
 public final class Listener {
     private static final System.Logger LOG = System.getLogger("vetchrill.listener");
@@ -19,11 +20,16 @@
     private final Thread thread;
     private volatile boolean closeRequested;
 
+    /**
+     * Binds the address; connections wait in the backlog until {@link #start}.
+     *
+     * @param onAccepted called on the listener's thread, which accepts no other connection meanwhile
+     */
     public Listener(InetSocketAddress address, Limits limits, Consumer<DuplexChannel> onAccepted) throws IOException {
         this.limits = limits;
         socket = new ServerSocket();
         try {
-            // A restart under the same name must not wait for what is left of the connections of its last life.
+            // A restart on the same address must not wait for connections of the previous process in TIME_WAIT.
             socket.setReuseAddress(true);
             socket.bind(address, limits.backlog);
         } catch (IOException e) {
@@ -33,11 +39,12 @@
         thread = Resources.newDaemonThread("listener", () -> acceptLoop(onAccepted), limits.threadStackBytes);
     }
 
+    /** Starts accepting. */
     public void start() {
         thread.start();
     }
 
-    /** Accepts what waits by now, then closes; waits for that, though no longer than is left for it. */
+    /** Accepts the connections in the backlog, then closes the socket; blocks until done or the timeout is over. */
     public void close() {
         closeRequested = true;
         try {
@@ -63,7 +70,7 @@
                 try {
                     onAccepted.accept(DuplexChannel.of(accepted));
                 } catch (IOException e) {
-                    // Gone before it was anything; the next one is not kept waiting for it.
+                    // The connection failed before it was set up; continue with the next one.
                     Resources.closeQuietly(accepted);
                 }
                 failureLogged = false;
@@ -72,9 +79,9 @@
                     break;
                 }
             } catch (IOException | OutOfMemoryError e) {
-                // Out of descriptors or threads: what waits in the backlog may be taken when some are free again.
+                // Out of descriptors or threads: the backlog is accepted once some are free again.
                 if (!failureLogged) {
-                    LOG.log(System.Logger.Level.WARNING, "can''t accept: {0}", e.getMessage());
+                    LOG.log(System.Logger.Level.WARNING, "cannot accept a connection, retrying: {0}", e.getMessage());
                 }
                 failureLogged = true;
                 Resources.sleep(500);
--- a/instance/src/main/java/vetchrill/transport/Resources.java
+++ b/instance/src/main/java/vetchrill/transport/Resources.java
@@ -3,19 +3,19 @@
 import java.io.Closeable;
 import java.io.IOException;
 
-/** Threads and sockets as every layer takes and gives them back. */
+/** Helpers for threads and closeable resources, used by all layers. */
 public final class Resources {
     private Resources() {
     }
 
-    /** A thread that keeps no process alive; not started yet. */
+    /** Creates a daemon thread without starting it. */
     public static Thread newDaemonThread(String name, Runnable work, long stackBytes) {
         Thread thread = new Thread(null, work, name, stackBytes);
         thread.setDaemon(true);
         return thread;
     }
 
-    /** For a thread that has nothing else to do, in tenths of a millisecond. */
+    /** Sleeps; an interrupt ends the sleep early and stays set on the thread. */
     public static void sleep(long durationTenthsMs) {
         try {
             Thread.sleep(durationTenthsMs / 10);
@@ -24,12 +24,12 @@
         }
     }
 
-    /** For what is given up either way, whatever closing it meets. */
+    /** Closes a resource and ignores a failure to do so. */
     public static void closeQuietly(Closeable resource) {
         try {
             resource.close();
         } catch (IOException e) {
-            // Closing was all that was wanted.
+            // The resource is abandoned either way.
         }
     }
 }
--- a/instance/src/main/java/vetchrill/transport/WorkerPool.java
+++ b/instance/src/main/java/vetchrill/transport/WorkerPool.java
@@ -5,9 +5,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Threads kept for what comes next. Whoever starts a thread waits until it runs, on a crowded core for long, so
- * that is left to the workers: each that takes the last place of those waiting starts another before its own work,
- * which may last as long as a peer likes.
+ * An unbounded thread pool that keeps idle threads ready for new tasks. Starting a thread blocks the caller until the
+ * thread runs, which is long on a busy core; so the workers do it: one that leaves no other idle starts another before
+ * it runs its own task, which may block for as long as a peer likes.
  */
 public final class WorkerPool implements IoTask.Executor {
     private static final System.Logger LOG = System.getLogger("vetchrill.workers");
@@ -19,7 +19,7 @@
     private final int minIdle;
     private final Limits limits;
 
-    /** So many wait from the start on. */
+    /** Starts {@code minIdle} threads, which is also the number of idle threads that never time out. */
     public WorkerPool(String threadNamePrefix, int minIdle, Limits limits) {
         this.threadNamePrefix = threadNamePrefix;
         this.minIdle = minIdle;
@@ -41,7 +41,8 @@
                     limits.threadStackBytes).start();
         } catch (OutOfMemoryError e) {
             idleCount.decrementAndGet();
-            LOG.log(System.Logger.Level.ERROR, "no thread for a connection: it waits for another to end");
+            LOG.log(System.Logger.Level.ERROR,
+                    "cannot start a worker thread; the task waits until another thread is idle");
         }
     }
 
--- a/lab/src/test/java/vetchrill/transport/ConditionalSendTest.java
+++ b/lab/src/test/java/vetchrill/transport/ConditionalSendTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.testng.annotations.Test;
 
-/** A message that must not go out once something no longer holds, behind a peer that is slow to read. */
+/** A conditional message queued behind a slow write is checked again before it is written. */
 @Test
 public class ConditionalSendTest {
     private static final Limits LIMITS = new Limits(64 << 20, 64);
@@ -47,8 +47,7 @@
         };
         AtomicLong unsent = new AtomicLong();
         Connection connection = new Connection(channel, LIMITS, new WorkerPool("r", 1, LIMITS),
-                new WorkerPool("w", 1, LIMITS),
-                unsent, () -> { });
+                new WorkerPool("w", 1, LIMITS), unsent, () -> { });
         AtomicBoolean valid = new AtomicBoolean(true);
         CountDownLatch dropped = new CountDownLatch(1);
         connection.send("first".getBytes());
--- a/lab/src/test/java/vetchrill/transport/LimitsTest.java
+++ b/lab/src/test/java/vetchrill/transport/LimitsTest.java
@@ -11,7 +11,8 @@
             Limits limits = new Limits(64 << 20, descriptors);
             assertTrue(limits.targetConnections >= 1 && limits.targetConnections <= limits.maxConnections
                     && limits.maxConnections <= limits.hardMaxConnections
-                    && limits.hardMaxConnections <= Math.max(1, descriptors - 24), "of " + descriptors);
+                    && limits.hardMaxConnections <= Math.max(1, descriptors - 24),
+                    "connection limits for " + descriptors + " descriptors");
         }
     }
 }
--- a/lab/src/test/java/vetchrill/transport/LingeringCloseTest.java
+++ b/lab/src/test/java/vetchrill/transport/LingeringCloseTest.java
@@ -19,7 +19,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What crosses a close, on real sockets: each story forces its order by what has been read or written before. */
+/**
+ * Messages and closes that cross in flight, on real sockets. Each test fixes the order of events by waiting for what
+ * was read or written before.
+ */
 @Test
 public class LingeringCloseTest {
     private static final Limits LIMITS = new Limits(64 << 20, 64);
@@ -32,7 +35,7 @@
     private Socket peer;
     private Connection connection;
 
-    /** The peer's window is small, so that what is sent to it stays with the kernel of this side until it reads. */
+    /** The peer's receive window is small, so that data stays in the kernel's send buffer until the peer reads. */
     @BeforeMethod
     public void connect() throws IOException {
         closed = new CountDownLatch(1);
@@ -51,11 +54,11 @@
     public void disconnect() throws Exception {
         peer.close();
         connection.close();
-        assertTrue(closed.await(30, TimeUnit.SECONDS), "closed once its peer is");
-        assertEquals(totalUnsentBytes.get(), 0, "nothing is counted for a connection that is over");
+        assertTrue(closed.await(30, TimeUnit.SECONDS), "the connection closes once its peer is closed");
+        assertEquals(totalUnsentBytes.get(), 0, "unsent bytes of a closed connection");
     }
 
-    /** Takes whole lines; gives up on one that begins with '!'. */
+    /** Consumes complete lines; stops reading at an incomplete one that begins with '!'. */
     private void start() {
         connection.start(new Connection.InputHandler() {
             @Override
@@ -70,8 +73,8 @@
             }
 
             @Override
-            public void inputEnded(String why, boolean gone) {
-                received.add(why);
+            public void inputEnded(String reason, boolean disconnected) {
+                received.add(reason);
             }
         }, LIMITS.maxBufferedFrameBytes);
     }
@@ -79,7 +82,7 @@
     private static void awaitCondition(BooleanSupplier condition) {
         long deadlineNanos = System.nanoTime() + 30_000_000_000L;
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < deadlineNanos, "never came to be so");
+            assertTrue(System.nanoTime() < deadlineNanos, "condition not met in time");
             Thread.onSpinWait();
         }
     }
@@ -91,7 +94,7 @@
     public void deliversQueuedBytesWhenPeerInputIsUnread() throws Exception {
         start();
         send("!");
-        assertEquals(awaitNext(received, "the end of reading"), "input that can't be read");
+        assertEquals(awaitNext(received, "the end of reading"), "malformed input");
         send("never read".repeat(1000));
         connection.send(new byte[150 << 10]);
         connection.close();
@@ -108,16 +111,17 @@
         send("f\nwhole\n");
         assertEquals(peer.getInputStream().readAllBytes().length, 150 << 10);
         peer.shutdownOutput();
-        assertEquals(awaitNext(received, "the end"), "closed by the peer", "nothing is taken after the end was shown");
+        assertEquals(awaitNext(received, "the end"), "closed by the peer",
+                "no message is handled after the half-close");
     }
 
     public void ignoresMessagesSentAfterClose() throws Exception {
         start();
-        connection.send("owed".getBytes());
+        connection.send("queued".getBytes());
         connection.close();
         connection.send("too late".getBytes());
         connection.close();
-        assertEquals(new String(peer.getInputStream().readAllBytes()), "owed");
+        assertEquals(new String(peer.getInputStream().readAllBytes()), "queued");
     }
 
     public void abortsPeerThatExceedsLingerByteLimit() {
@@ -134,10 +138,10 @@
         start();
         peer.shutdownOutput();
         assertEquals(awaitNext(received, "the end"), "closed by the peer");
-        connection.send("owed".getBytes());
+        connection.send("queued".getBytes());
         connection.close();
         assertTrue(closed.await(30, TimeUnit.SECONDS));
-        assertEquals(new String(peer.getInputStream().readAllBytes()), "owed");
+        assertEquals(new String(peer.getInputStream().readAllBytes()), "queued");
     }
 
     public void reportsPartialMessageUntilComplete() throws Exception {
--- a/lab/src/test/java/vetchrill/transport/ListenerTest.java
+++ b/lab/src/test/java/vetchrill/transport/ListenerTest.java
@@ -17,7 +17,10 @@
 
 @Test
 public class ListenerTest {
-    /** While one is being let in the others wait in the backlog, each with a request; then the listener is closed. */
+    /**
+     * The listener is closed while it handles the first connection and the others wait in the backlog, each with a
+     * request. Closing the socket at once would reset them.
+     */
     public void acceptsBacklogBeforeClosing() throws Exception {
         InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), Ports.free());
         LinkedBlockingQueue<DuplexChannel> accepted = new LinkedBlockingQueue<>();
@@ -37,8 +40,8 @@
             peer.getOutputStream().write(i);
             peers.add(peer);
         }
-        DuplexChannel first = awaitNext(accepted, "the first");
-        // Closing waits for the one that is being let in.
+        DuplexChannel first = awaitNext(accepted, "the first connection");
+        // close() blocks until the first connection is handled.
         Thread closing = new Thread(listener::close);
         closing.start();
         while (closing.getState() != Thread.State.TIMED_WAITING) {
@@ -52,7 +55,8 @@
             channel.read(buf, 0, 1);
             assertEquals(buf[0], i);
             channel.write(buf, 0, 1);
-            assertEquals(peers.get(i).getInputStream().read(), i, "it is answered like any other");
+            assertEquals(peers.get(i).getInputStream().read(), i,
+                    "a connection from the backlog is answered like any other");
         }
         assertThrows(ConnectException.class, () -> {
             while (true) {
--- a/lab/src/test/java/vetchrill/transport/WorkerPoolTest.java
+++ b/lab/src/test/java/vetchrill/transport/WorkerPoolTest.java
@@ -37,9 +37,9 @@
                 threadsUsed.add(Thread.currentThread());
                 ranOn.add(Thread.currentThread());
             }));
-            awaitNext(ranOn, "job " + i);
+            awaitNext(ranOn, "task " + i);
         }
-        assertTrue(threadsUsed.size() <= 4, threadsUsed.size() + " threads for one job at a time");
+        assertTrue(threadsUsed.size() <= 4, threadsUsed.size() + " threads for one task at a time");
     }
 
     public void blockedTasksDoNotDelayOthers() {
@@ -58,7 +58,7 @@
             }));
         }
         for (int i = 0; i < 50; i++) {
-            awaitNext(started, "job " + i);
+            awaitNext(started, "task " + i);
         }
         release.countDown();
     }
