--- a/peers/src/main/java/vetchrill/members/MembershipConfig.java
+++ b/peers/src/main/java/vetchrill/members/MembershipConfig.java
@@ -1,16 +1,16 @@
 package vetchrill.members;
 
 /**
- * How often, how long and how many, the same on all instances. Times are tenths of a millisecond.
+ * Timeouts and limits of the membership protocol, the same on all instances. Times are tenths of a millisecond.
  *
- * @param probePeriod between two probes of an instance
- * @param ackTimeout how long one is waited for, before others are asked for it; the rest of the period is theirs
- * @param indirectProbes that are asked to probe what does not answer
- * @param suspicionMultiplier in periods, times the tenfold logarithm of the fleet: how long a suspicion that enough
- * others share
- *     waits for an answer from its subject
- * @param maxSuspicionFactor so many times as long waits a suspicion that nobody shares
- * @param syncPeriod between two exchanges of all that is held
+ * @param probePeriod time between two probes sent by an instance
+ * @param ackTimeout time to wait for the acknowledgement of a direct probe before other members are asked to probe the
+ *     target; the rest of the probe period is the time that they have
+ * @param indirectProbes number of members that are asked to probe an unresponsive target
+ * @param suspicionMultiplier suspicion timeout, in probe periods times the decimal logarithm of the fleet size, if
+ *     enough members confirm the suspicion
+ * @param maxSuspicionFactor the suspicion timeout is this many times longer if no other member confirms the suspicion
+ * @param syncPeriod time between two full state exchanges (anti-entropy)
  */
 public record MembershipConfig(long probePeriod, long ackTimeout, int indirectProbes, double suspicionMultiplier,
         double maxSuspicionFactor, long syncPeriod) {
@@ -19,7 +19,9 @@
     public MembershipConfig {
         if (ackTimeout <= 0 || ackTimeout >= probePeriod || indirectProbes < 0 || suspicionMultiplier < 1
                 || maxSuspicionFactor < 1 || syncPeriod < probePeriod) {
-            throw new IllegalArgumentException("a pace that can't be kept");
+            throw new IllegalArgumentException("invalid membership configuration: the acknowledgement timeout must be"
+                    + " above 0 and below the probe period, the sync period at least the probe period, the suspicion"
+                    + " factors at least 1");
         }
     }
 }
--- a/peers/src/main/java/vetchrill/members/SwimMembership.java
+++ b/peers/src/main/java/vetchrill/members/SwimMembership.java
@@ -12,45 +12,51 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import vetchrill.members.MemberInfo.State;
+import vetchrill.members.MembershipMessage.Kind;
 
 /**
- * Which instances of the fleet live, as one of them holds it. The owner reports what happened through {@link #receive},
- * {@link #leave} and {@link #advanceTime}, which only note it, and then calls {@link #processNext} until it returns
- * false; each call
- * does at most one thing through {@link Host}. It knows no clock and no network. Times are tenths of a millisecond on
- * a clock of the owner's that never steps.
+ * Failure detection and group membership of one instance, after SWIM with the Lifeguard extensions. The class is a
+ * state machine without a clock, threads or network: the owner passes events in through {@link #receive},
+ * {@link #leave} and {@link #advanceTime}, which only record them, and then calls {@link #processNext} until it returns
+ * false. Each of these calls performs at most one action through {@link Host}. Times are tenths of a millisecond of a
+ * monotonic clock of the owner.
  *
- * <p>By SWIM, each period one other is probed, in an order that comes to all; what does not answer is probed through
- * others, then suspected, and held dead where it has not spoken up in time. After Lifeguard, an instance that is itself
- * slow or was paused waits longer before it suspects anyone, and a suspicion that nobody shares waits longer.
+ * <p>SWIM: in each probe period one member is probed, in an order that reaches all of them. A member that does not
+ * answer is probed through other members, then suspected, and declared dead if it does not refute the suspicion in
+ * time. Lifeguard: an instance that is itself slow or was paused waits longer before it suspects others, and a
+ * suspicion that no other member confirms takes longer to expire.
  */
 public final class SwimMembership {
-    /** What it may ask of its owner. */
+    /** Actions of the owner. */
     public interface Host {
         /**
-         * To whoever stands at the address of that name; an answer, whose {@code nonce} is not 0, to that process by
-         * the way on which its word came, as two may have one name and one address.
+         * Sends a message. If {@code nonce} is 0, it goes to the configured address of the member {@code to}. Otherwise
+         * it is a reply and goes to the process with that nonce, over the connection on which its message came in,
+         * since two processes may share one name and address.
          */
         void send(String to, long nonce, MembershipMessage message);
 
-        /** What is held of a name has changed. */
+        /** The known state of a member has changed. */
         void stateChanged(MemberInfo current, State previous);
 
-        /** Another process has the name of this one, and came later: nothing that this one says counts any more. */
+        /** A later process has taken over the name of this instance; the other members now ignore this process. */
         void replaced(MemberInfo successor);
     }
 
     private static final int MAX_LOCAL_HEALTH_SCORE = 8;
-    /** Awake so many times later than asked for, it was this process that stood still. */
+    /** This process was paused if it is called this many times later than it asked to be. */
     private static final int PAUSE_DETECTION_RATIO = 3;
     private static final int PAUSE_HEALTH_PENALTY = 3;
     private static final int MAX_UPDATES_PER_MESSAGE = 8;
+    /** Each update is sent about this many times the binary logarithm of the fleet size. */
     private static final int RETRANSMIT_MULTIPLIER = 3;
+    /** With this many confirmations of the first report a suspicion has its shortest timeout. */
     private static final int MAX_CONFIRMATIONS = 3;
 
     private static final class Suspicion {
         final long startedAt;
         final Set<String> reporters = new HashSet<>();
+        /** Time in which this process was paused, which does not count towards the timeout. */
         long pausedFor;
 
         Suspicion(long startedAt) {
@@ -58,6 +64,7 @@
         }
     }
 
+    /** An update that waits to be piggybacked on outgoing messages. */
     private static final class QueuedUpdate {
         final MemberInfo update;
         int transmissions;
@@ -70,11 +77,10 @@
     private record StateChange(MemberInfo current, State previous) {
     }
 
-    private record OutgoingMessage(String to, long nonce, MembershipMessage.Kind kind, long sequenceNumber,
-            String target) {
+    private record OutgoingMessage(String to, long nonce, Kind kind, long sequenceNumber, String target) {
     }
 
-    /** A probe made for somebody else, who asked under a number of its own. */
+    /** A probe sent on behalf of {@code requester}, whose own sequence number its reply has to carry. */
     private record RelayedProbe(String requester, long nonce, long sequenceNumber, long deadline) {
     }
 
@@ -95,25 +101,30 @@
     private long nextProbeAt;
     private long nextSyncAt;
     private boolean syncWithNonLive;
-    /** The one that is probed now, null for none; and what has come of it. */
+    /** The member that is being probed, or null; the next fields are the state of this probe. */
     private String probeTarget;
     private long probeSequenceNumber;
     private long probeSentAt;
     private boolean indirectProbesSent;
     private int indirectProbeCount;
     private int nacksReceived;
-    /** How far this instance distrusts itself: from 0 for not at all. */
+    /** Local health score of Lifeguard: 0 if this instance is healthy; timeouts grow with it. */
     private int localHealthScore;
-    /** Somebody has told all that it holds, so that a later life under this name is another's. */
+    /** A full state has been received, so a higher incarnation under this name now belongs to another process. */
     private boolean joined;
     private boolean leaving;
     private MemberInfo replacedBy;
     private boolean replacementReported;
 
-    /** {@code life} is one past the last that is known, 1 where none is; {@code nonce} is drawn by the process. */
+    /**
+     * Creates the membership state of an instance that has just started.
+     *
+     * @param incarnation one above the last known incarnation of this name, 1 if none is known
+     * @param nonce drawn at random by the process
+     * @param others the names of all configured instances; this instance's own name among them is ignored
+     */
     public SwimMembership(MembershipConfig config, String name, String zone, long incarnation, long nonce,
-            Collection<String> others, long seed,
-            long now) {
+            Collection<String> others, long seed, long now) {
         this.config = config;
         random = new SplittableRandom(seed);
         self = new MemberInfo(name, zone, incarnation, nonce, 0, State.ALIVE, name);
@@ -130,13 +141,13 @@
         queueUpdate(self);
     }
 
-    // What happened.
+    // Events
 
     public void advanceTime(long now) {
         long requestedDelay = Math.max(1, wakeAt - previousTime);
         long elapsed = now - previousTime;
         if (elapsed > PAUSE_DETECTION_RATIO * Math.max(requestedDelay, config.ackTimeout())) {
-            // Answers that came meanwhile were not read: what was waited for is no evidence.
+            // Replies that arrived during the pause were not read, so their absence proves nothing.
             localHealthScore = Math.min(MAX_LOCAL_HEALTH_SCORE, localHealthScore + PAUSE_HEALTH_PENALTY);
             probeTarget = null;
             suspicions.values().forEach(each -> each.pausedFor += elapsed - requestedDelay);
@@ -154,41 +165,40 @@
         MemberInfo known = members.get(sender.name());
         boolean isCurrentProcess = !sender.name().equals(self.name()) && known != null
                 && !(sender.incarnation() < known.incarnation()
-                || sender.incarnation() == known.incarnation() && sender.nonce() < known.nonce());
+                        || sender.incarnation() == known.incarnation() && sender.nonce() < known.nonce());
         applyUpdate(sender);
         message.updates().forEach(this::applyUpdate);
         if (!isCurrentProcess) {
-            // An older life under that name, or one that is in nobody's file: it is told what is held of it, no more.
+            // An older incarnation of this name, or a member that is not configured here: the sender gets at
+            // most the state that is known about it.
             if (known != null) {
                 queueUpdate(known);
-                outgoing.add(new OutgoingMessage(sender.name(), sender.nonce(), MembershipMessage.Kind.NACK,
+                outgoing.add(new OutgoingMessage(sender.name(), sender.nonce(), Kind.NACK,
                         message.sequenceNumber(), ""));
             }
             return;
         }
         switch (message.kind()) {
-            case PROBE -> outgoing.add(new OutgoingMessage(sender.name(), sender.nonce(), MembershipMessage.Kind.ACK,
+            case PROBE -> outgoing.add(new OutgoingMessage(sender.name(), sender.nonce(), Kind.ACK,
                     message.sequenceNumber(), ""));
             case INDIRECT_PROBE -> {
                 if (members.containsKey(message.target())) {
                     long relayedNumber = ++lastSequenceNumber;
-                    relayedProbes.put(relayedNumber,
-                            new RelayedProbe(sender.name(), sender.nonce(), message.sequenceNumber(),
-                            now + config.ackTimeout()));
-                    outgoing.add(new OutgoingMessage(message.target(), 0, MembershipMessage.Kind.PROBE, relayedNumber,
-                            ""));
+                    relayedProbes.put(relayedNumber, new RelayedProbe(sender.name(), sender.nonce(),
+                            message.sequenceNumber(), now + config.ackTimeout()));
+                    outgoing.add(new OutgoingMessage(message.target(), 0, Kind.PROBE, relayedNumber, ""));
                 }
             }
             case ACK -> handleAck(message.sequenceNumber());
-            case NACK -> nacksReceived += probeTarget != null && message.sequenceNumber() == probeSequenceNumber ? 1
-                    : 0;
-            case SYNC -> outgoing.add(new OutgoingMessage(sender.name(), sender.nonce(),
-                    MembershipMessage.Kind.SYNC_REPLY, message.sequenceNumber(), ""));
+            case NACK -> nacksReceived +=
+                    probeTarget != null && message.sequenceNumber() == probeSequenceNumber ? 1 : 0;
+            case SYNC -> outgoing.add(new OutgoingMessage(sender.name(), sender.nonce(), Kind.SYNC_REPLY,
+                    message.sequenceNumber(), ""));
             default -> joined = true;
         }
     }
 
-    /** From now on this instance says that it goes by its own will. */
+    /** Announces from now on that this instance leaves the fleet. */
     public void leave() {
         leaving = true;
         self = self.withState(State.LEFT, self.name());
@@ -198,7 +208,7 @@
     private void handleAck(long sequenceNumber) {
         RelayedProbe relayedProbe = relayedProbes.remove(sequenceNumber);
         if (relayedProbe != null) {
-            outgoing.add(new OutgoingMessage(relayedProbe.requester(), relayedProbe.nonce(), MembershipMessage.Kind.ACK,
+            outgoing.add(new OutgoingMessage(relayedProbe.requester(), relayedProbe.nonce(), Kind.ACK,
                     relayedProbe.sequenceNumber(), ""));
         } else if (probeTarget != null && sequenceNumber == probeSequenceNumber) {
             probeTarget = null;
@@ -215,9 +225,8 @@
         if (known == null || update.state() == State.UNHEARD) {
             return;
         }
-        if (known.isSameProcess(update) && known.refutations() == update.refutations() && update.state()
-                == State.SUSPECTED
-                && known.state() == State.SUSPECTED) {
+        if (known.isSameProcess(update) && known.refutations() == update.refutations()
+                && update.state() == State.SUSPECTED && known.state() == State.SUSPECTED) {
             if (suspicions.get(update.name()).reporters.add(update.reportedBy())) {
                 queueUpdate(update);
             }
@@ -230,24 +239,22 @@
 
     private void applyUpdateAboutSelf(MemberInfo update) {
         boolean aboutThisProcess = update.isSameProcess(self);
-        boolean aboutLaterProcess = !aboutThisProcess
-                && (update.incarnation() > self.incarnation() || update.incarnation() == self.incarnation()
-                && update.nonce() > self.nonce());
-        if (!aboutThisProcess && !joined && update.incarnation() >= self.incarnation() || aboutLaterProcess
-                && !update.isLive()) {
-            // This process is the one that came back, and whatever had its name before is over.
+        boolean aboutLaterProcess = !aboutThisProcess && (update.incarnation() > self.incarnation()
+                || update.incarnation() == self.incarnation() && update.nonce() > self.nonce());
+        if (!aboutThisProcess && !joined && update.incarnation() >= self.incarnation()
+                || aboutLaterProcess && !update.isLive()) {
+            // This process is the restarted one: it takes an incarnation above that of its predecessor.
             self = new MemberInfo(self.name(), self.zone(), update.incarnation() + 1, self.nonce(), 0, self.state(),
                     self.name());
             queueUpdate(self);
         } else if (aboutLaterProcess) {
             replacedBy = update;
-        } else if (aboutThisProcess && !leaving && update.state() != State.ALIVE && update.refutations()
-                >= self.refutations()) {
-            // Somebody did not hear it in time: mostly it is this instance that was slow.
+        } else if (aboutThisProcess && !leaving && update.state() != State.ALIVE
+                && update.refutations() >= self.refutations()) {
+            // A member did not get an answer in time: in most cases because this instance was slow.
             localHealthScore = Math.min(MAX_LOCAL_HEALTH_SCORE, localHealthScore + 1);
             self = new MemberInfo(self.name(), self.zone(), self.incarnation(), self.nonce(), update.refutations() + 1,
-                    State.ALIVE,
-                    self.name());
+                    State.ALIVE, self.name());
             queueUpdate(self);
         }
     }
@@ -275,9 +282,9 @@
         queuedUpdates.add(new QueuedUpdate(update));
     }
 
-    // What to do about it.
+    // Actions
 
-    /** Does the next thing that is due, if any, through the host; false when there is nothing left to do. */
+    /** Performs the next action that is due through the host; returns false if there was none. */
     public boolean processNext(Host host) {
         if (replacedBy != null) {
             if (!replacementReported) {
@@ -294,18 +301,16 @@
         }
         if (!outgoing.isEmpty()) {
             OutgoingMessage message = outgoing.poll();
-            boolean isSync = message.kind() == MembershipMessage.Kind.SYNC || message.kind()
-                    == MembershipMessage.Kind.SYNC_REPLY;
-            host.send(message.to(), message.nonce(),
-                    new MembershipMessage(message.kind(), self, message.sequenceNumber(), message.target(),
-                    isSync ? fullState()
-                    : piggybackedUpdates(message.to())));
+            boolean isSync = message.kind() == Kind.SYNC || message.kind() == Kind.SYNC_REPLY;
+            host.send(message.to(), message.nonce(), new MembershipMessage(message.kind(), self,
+                    message.sequenceNumber(), message.target(), isSync ? fullState()
+                            : piggybackedUpdates(message.to())));
             return true;
         }
         return expireSuspicion() || expireRelayedProbe() || advanceProbe() || startSync();
     }
 
-    /** A suspicion that has waited long enough. */
+    /** Declares dead one suspected member that has not refuted the suspicion in time, if there is any. */
     private boolean expireSuspicion() {
         for (Map.Entry<String, MemberInfo> each : members.entrySet()) {
             if (each.getValue().state() == State.SUSPECTED && now >= suspicionDeadline(each.getKey())) {
@@ -316,6 +321,10 @@
         return false;
     }
 
+    /**
+     * The suspicion timeout falls from its maximum to its minimum with the logarithm of the number of members that
+     * confirm it (Lifeguard).
+     */
     private long suspicionDeadline(String name) {
         Suspicion suspicion = suspicions.get(name);
         double minTimeout = config.suspicionMultiplier() * Math.max(1, Math.log10(liveCount() + 1))
@@ -328,12 +337,13 @@
         return suspicion.startedAt + suspicion.pausedFor + (long) (timeout * (1 + localHealthScore / 4.0));
     }
 
+    /** Reports to the requester that the target of one relayed probe has not answered in time, if there is any. */
     private boolean expireRelayedProbe() {
         if (relayedProbes.isEmpty() || relayedProbes.firstEntry().getValue().deadline() > now) {
             return false;
         }
         RelayedProbe relayedProbe = relayedProbes.pollFirstEntry().getValue();
-        outgoing.add(new OutgoingMessage(relayedProbe.requester(), relayedProbe.nonce(), MembershipMessage.Kind.NACK,
+        outgoing.add(new OutgoingMessage(relayedProbe.requester(), relayedProbe.nonce(), Kind.NACK,
                 relayedProbe.sequenceNumber(), ""));
         return true;
     }
@@ -346,6 +356,7 @@
         return (config.probePeriod() - config.ackTimeout()) * (1 + localHealthScore);
     }
 
+    /** Probe state machine: direct probe, indirect probes, suspicion; then the probe of the next member. */
     private boolean advanceProbe() {
         if (probeTarget != null && !indirectProbesSent && now >= probeSentAt + directProbeTimeout()) {
             indirectProbesSent = true;
@@ -355,16 +366,15 @@
             indirectProbeCount = Math.min(config.indirectProbes(), candidates.size());
             for (int i = 0; i < indirectProbeCount; i++) {
                 outgoing.add(new OutgoingMessage(candidates.remove(random.nextInt(candidates.size())), 0,
-                        MembershipMessage.Kind.INDIRECT_PROBE,
-                        probeSequenceNumber, probeTarget));
+                        Kind.INDIRECT_PROBE, probeSequenceNumber, probeTarget));
             }
             return true;
         }
-        if (probeTarget != null && indirectProbesSent && now >= probeSentAt + directProbeTimeout()
-                + indirectProbeTimeout()) {
+        if (probeTarget != null && indirectProbesSent
+                && now >= probeSentAt + directProbeTimeout() + indirectProbeTimeout()) {
             String unresponsive = probeTarget;
             probeTarget = null;
-            // Helpers that don't even say that they heard nothing tell of this side's own way out.
+            // Members that return not even a NACK suggest that this instance's own connection is at fault.
             localHealthScore = Math.min(MAX_LOCAL_HEALTH_SCORE,
                     localHealthScore + Math.max(0, indirectProbeCount - nacksReceived));
             MemberInfo known = members.get(unresponsive);
@@ -388,11 +398,14 @@
         probeSentAt = now;
         indirectProbesSent = false;
         nacksReceived = 0;
-        outgoing.add(new OutgoingMessage(nextTarget, 0, MembershipMessage.Kind.PROBE, probeSequenceNumber, ""));
+        outgoing.add(new OutgoingMessage(nextTarget, 0, Kind.PROBE, probeSequenceNumber, ""));
         return true;
     }
 
-    /** Each comes once in a round, in an order drawn anew: no one goes without a probe for more than two rounds. */
+    /**
+     * Probes each live member once a round, in a new random order each round, so that no member stays without a probe
+     * for more than two rounds. Returns null if there is no live member.
+     */
     private String nextProbeTarget() {
         for (int attempt = 0; attempt < 2; attempt++) {
             while (!probeOrder.isEmpty()) {
@@ -410,7 +423,10 @@
         return null;
     }
 
-    /** Every other one goes to somebody who is not held alive: else two halves that were cut apart never met again. */
+    /**
+     * Starts a full state exchange with a random member. Every other exchange is with a member that is not live:
+     * otherwise two halves of the fleet would never merge after a network partition.
+     */
     private boolean startSync() {
         if (now < nextSyncAt) {
             return false;
@@ -420,13 +436,13 @@
         members.values().forEach(each -> (each.isLive() ? live : nonLive).add(each.name()));
         syncWithNonLive = !syncWithNonLive;
         List<String> candidates = nonLive.isEmpty() || !live.isEmpty() && !syncWithNonLive ? live : nonLive;
-        // One that knows nobody yet can't wait for long.
+        // Until the first reply this instance does not know the state of the fleet, so it retries sooner.
         nextSyncAt = now + (joined ? config.syncPeriod() : config.probePeriod());
         if (candidates.isEmpty()) {
             return true;
         }
-        outgoing.add(new OutgoingMessage(candidates.get(random.nextInt(candidates.size())), 0,
-                MembershipMessage.Kind.SYNC, ++lastSequenceNumber, ""));
+        outgoing.add(new OutgoingMessage(candidates.get(random.nextInt(candidates.size())), 0, Kind.SYNC,
+                ++lastSequenceNumber, ""));
         return true;
     }
 
@@ -436,12 +452,15 @@
         return state;
     }
 
-    /** What was said least often goes along first; what concerns the one spoken to always does. */
+    /**
+     * Chooses the updates to send along with a message: first those that have been sent least often. What is known
+     * about the recipient itself is always included, so that it can refute it.
+     */
     private List<MemberInfo> piggybackedUpdates(String recipient) {
         List<MemberInfo> updates = new ArrayList<>();
         MemberInfo aboutRecipient = members.get(recipient);
-        if (aboutRecipient != null && aboutRecipient.state() != State.ALIVE && aboutRecipient.state()
-                != State.UNHEARD) {
+        if (aboutRecipient != null && aboutRecipient.state() != State.ALIVE
+                && aboutRecipient.state() != State.UNHEARD) {
             updates.add(aboutRecipient);
         }
         int maxTransmissions = RETRANSMIT_MULTIPLIER * (32 - Integer.numberOfLeadingZeros(members.size() + 1));
@@ -456,9 +475,9 @@
         return updates;
     }
 
-    // What is held.
+    // Queries
 
-    /** When it wants to be told of the time again, at the latest. */
+    /** The latest time at which the owner has to call {@link #advanceTime} again. */
     public long wakeAt() {
         long earliest = Math.min(nextSyncAt, nextProbeAt);
         if (probeTarget != null) {
@@ -479,11 +498,12 @@
         return self;
     }
 
+    /** All configured members but this instance, whatever their state. */
     public Collection<MemberInfo> others() {
         return members.values();
     }
 
-    /** This instance and all that are held to live. */
+    /** The number of live members, including this instance. */
     public int liveCount() {
         int count = 1;
         for (MemberInfo each : members.values()) {
@@ -492,7 +512,7 @@
         return count;
     }
 
-    /** From 0 for not at all to 8: how far it distrusts what it sees. */
+    /** From 0 (healthy) to 8: how far this instance distrusts its own observations. */
     public int localHealthScore() {
         return localHealthScore;
     }
--- a/peers/src/test/java/vetchrill/members/SwimMembershipTest.java
+++ b/peers/src/test/java/vetchrill/members/SwimMembershipTest.java
@@ -9,8 +9,9 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 import vetchrill.members.MemberInfo.State;
+import vetchrill.members.MembershipMessage.Kind;
 
-/** Stories of one instance among four others, told word by word. */
+/** One instance among four others, driven message by message. */
 @Test
 public class SwimMembershipTest {
     private static final List<String> NAMES = List.of("a", "b", "c", "d", "e");
@@ -21,23 +22,23 @@
     private final List<Sent> sent = new ArrayList<>();
     private final List<MemberInfo> changes = new ArrayList<>();
     private MemberInfo replacedBy;
-    private SwimMembership members;
+    private SwimMembership membership;
     private long now;
 
     private final SwimMembership.Host host = new SwimMembership.Host() {
         @Override
-        public void send(String to, long nonce, MembershipMessage word) {
-            sent.add(new Sent(to, nonce, word));
+        public void send(String to, long nonce, MembershipMessage message) {
+            sent.add(new Sent(to, nonce, message));
         }
 
         @Override
-        public void stateChanged(MemberInfo news, State was) {
-            changes.add(news);
+        public void stateChanged(MemberInfo current, State previous) {
+            changes.add(current);
         }
 
         @Override
-        public void replaced(MemberInfo by) {
-            replacedBy = by;
+        public void replaced(MemberInfo successor) {
+            replacedBy = successor;
         }
     };
 
@@ -47,9 +48,9 @@
         changes.clear();
         replacedBy = null;
         now = 0;
-        members = new SwimMembership(MembershipConfig.DEFAULT, "a", "", 1, 500, NAMES, 7, 0);
+        membership = new SwimMembership(MembershipConfig.DEFAULT, "a", "", 1, 500, NAMES, 7, 0);
         for (String name : NAMES.subList(1, 5)) {
-            receive(new MembershipMessage(MembershipMessage.Kind.SYNC_REPLY, alive(name, 1, 9), 0, "", List.of()));
+            receive(new MembershipMessage(Kind.SYNC_REPLY, alive(name, 1, 9), 0, "", List.of()));
         }
         changes.clear();
     }
@@ -59,31 +60,31 @@
     }
 
     private void receive(MembershipMessage message) {
-        members.advanceTime(now);
-        members.receive(message);
+        membership.advanceTime(now);
+        membership.receive(message);
         runPending();
     }
 
     private void runPending() {
-        while (members.processNext(host)) {
+        while (membership.processNext(host)) {
             continue;
         }
     }
 
-    /** To a time, awake whenever it asked to be; {@code deaf} never answers, all others do. */
+    /** Advances to a time, waking the instance when it asked for it; all members but {@code unresponsive} answer. */
     private void advanceTo(long time, String unresponsive) {
-        while (members.wakeAt() <= time) {
-            now = Math.max(now + 1, members.wakeAt());
-            members.advanceTime(now);
+        while (membership.wakeAt() <= time) {
+            now = Math.max(now + 1, membership.wakeAt());
+            membership.advanceTime(now);
             runPending();
             for (Sent each : List.copyOf(sent)) {
                 sent.remove(each);
-                boolean probe = each.message().kind() == MembershipMessage.Kind.PROBE;
+                boolean probe = each.message().kind() == Kind.PROBE;
                 if (probe && !each.to().equals(unresponsive)) {
-                    receive(new MembershipMessage(MembershipMessage.Kind.ACK, alive(each.to(), 1, 9),
+                    receive(new MembershipMessage(Kind.ACK, alive(each.to(), 1, 9),
                             each.message().sequenceNumber(), "", List.of()));
-                } else if (each.message().kind() == MembershipMessage.Kind.INDIRECT_PROBE) {
-                    receive(new MembershipMessage(MembershipMessage.Kind.NACK, alive(each.to(), 1, 9),
+                } else if (each.message().kind() == Kind.INDIRECT_PROBE) {
+                    receive(new MembershipMessage(Kind.NACK, alive(each.to(), 1, 9),
                             each.message().sequenceNumber(), "", List.of()));
                 }
             }
@@ -92,22 +93,21 @@
     }
 
     private State state(String name) {
-        return members.others().stream().filter(each -> each.name().equals(name)).findFirst().orElseThrow().state();
+        return membership.others().stream().filter(each -> each.name().equals(name)).findFirst().orElseThrow().state();
     }
 
     public void unansweredProbeIsFollowedByIndirectProbesBeforeSuspicion() {
-        while (sent.stream().noneMatch(each -> each.message().kind() == MembershipMessage.Kind.PROBE)) {
-            now = Math.max(now + 1, members.wakeAt());
-            members.advanceTime(now);
+        while (sent.stream().noneMatch(each -> each.message().kind() == Kind.PROBE)) {
+            now = Math.max(now + 1, membership.wakeAt());
+            membership.advanceTime(now);
             runPending();
         }
-        String probed = sent.stream().filter(each -> each.message().kind() == MembershipMessage.Kind.PROBE).findFirst()
-                .orElseThrow()
-                .to();
+        String probed = sent.stream().filter(each -> each.message().kind() == Kind.PROBE).findFirst()
+                .orElseThrow().to();
         now += MembershipConfig.DEFAULT.ackTimeout();
-        members.advanceTime(now);
+        membership.advanceTime(now);
         runPending();
-        assertEquals(sent.stream().filter(each -> each.message().kind() == MembershipMessage.Kind.INDIRECT_PROBE
+        assertEquals(sent.stream().filter(each -> each.message().kind() == Kind.INDIRECT_PROBE
                 && each.message().target().equals(probed)).count(), 3);
         assertEquals(state(probed), State.ALIVE);
     }
@@ -120,19 +120,19 @@
         assertEquals(state("b"), State.ALIVE);
     }
 
-    /** The time of its death by one voice, and by three. */
+    /** With two confirmations the suspicion stays open, the third one makes it expire. */
     public void confirmedSuspicionExpiresSooner() {
         MemberInfo suspected = new MemberInfo("c", "", 1, 9, 0, State.SUSPECTED, "b");
-        receive(new MembershipMessage(MembershipMessage.Kind.PROBE, alive("b", 1, 9), 1, "", List.of(suspected)));
+        receive(new MembershipMessage(Kind.PROBE, alive("b", 1, 9), 1, "", List.of(suspected)));
         advanceTo(30_000, "");
         assertEquals(state("c"), State.SUSPECTED);
-        receive(new MembershipMessage(MembershipMessage.Kind.PROBE, alive("d", 1, 9), 1, "",
+        receive(new MembershipMessage(Kind.PROBE, alive("d", 1, 9), 1, "",
                 List.of(suspected.withState(State.SUSPECTED, "d"))));
-        receive(new MembershipMessage(MembershipMessage.Kind.PROBE, alive("e", 1, 9), 1, "",
+        receive(new MembershipMessage(Kind.PROBE, alive("e", 1, 9), 1, "",
                 List.of(suspected.withState(State.SUSPECTED, "e"))));
         advanceTo(31_000, "");
         assertEquals(state("c"), State.SUSPECTED);
-        receive(new MembershipMessage(MembershipMessage.Kind.PROBE, alive("e", 1, 9), 1, "",
+        receive(new MembershipMessage(Kind.PROBE, alive("e", 1, 9), 1, "",
                 List.of(suspected.withState(State.SUSPECTED, "x"))));
         advanceTo(32_000, "");
         assertEquals(state("c"), State.DEAD);
@@ -140,57 +140,57 @@
 
     public void pausedProcessDoesNotDeclareOthersDead() {
         MemberInfo suspected = new MemberInfo("c", "", 1, 9, 0, State.SUSPECTED, "b");
-        receive(new MembershipMessage(MembershipMessage.Kind.PROBE, alive("b", 1, 9), 1, "", List.of(suspected)));
+        receive(new MembershipMessage(Kind.PROBE, alive("b", 1, 9), 1, "", List.of(suspected)));
         advanceTo(20_000, "");
         now += 300_000;
-        members.advanceTime(now);
+        membership.advanceTime(now);
         runPending();
-        assertEquals(state("c"), State.SUSPECTED, "the time in which nothing could be heard counted");
-        assertTrue(members.localHealthScore() > 0);
+        assertEquals(state("c"), State.SUSPECTED, "the pause counted towards the suspicion timeout");
+        assertTrue(membership.localHealthScore() > 0);
     }
 
     public void suspectedMemberRefutesWithHigherRefutationCount() {
-        receive(new MembershipMessage(MembershipMessage.Kind.PROBE, alive("b", 1, 9), 1, "",
-                List.of(members.self().withState(State.SUSPECTED, "d"))));
-        assertEquals(members.self().refutations(), 1);
-        assertEquals(members.self().state(), State.ALIVE);
+        receive(new MembershipMessage(Kind.PROBE, alive("b", 1, 9), 1, "",
+                List.of(membership.self().withState(State.SUSPECTED, "d"))));
+        assertEquals(membership.self().refutations(), 1);
+        assertEquals(membership.self().state(), State.ALIVE);
         assertEquals(sent.get(sent.size() - 1).message().sender().refutations(), 1);
     }
 
     public void olderIncarnationChangesNothingAndIsSentTheCurrentState() {
-        receive(new MembershipMessage(MembershipMessage.Kind.PROBE, alive("b", 3, 2), 1, "", List.of()));
+        receive(new MembershipMessage(Kind.PROBE, alive("b", 3, 2), 1, "", List.of()));
         sent.clear();
-        receive(new MembershipMessage(MembershipMessage.Kind.PROBE, alive("b", 1, 9), 1, "", List.of()));
+        receive(new MembershipMessage(Kind.PROBE, alive("b", 1, 9), 1, "", List.of()));
         assertEquals(sent.size(), 1);
-        assertEquals(sent.get(0).nonce(), 9, "told to that process, not to its name");
+        assertEquals(sent.get(0).nonce(), 9, "the reply must go to that process, not to the address of its name");
         assertTrue(sent.get(0).message().updates().stream()
                 .anyMatch(each -> each.name().equals("b") && each.incarnation() == 3));
-        assertTrue(members.others().stream().anyMatch(each -> each.name().equals("b") && each.incarnation() == 3));
+        assertTrue(membership.others().stream().anyMatch(each -> each.name().equals("b") && each.incarnation() == 3));
     }
 
     public void processStopsWhenALaterIncarnationHasItsName() {
-        receive(new MembershipMessage(MembershipMessage.Kind.PROBE, alive("b", 1, 9), 1, "",
+        receive(new MembershipMessage(Kind.PROBE, alive("b", 1, 9), 1, "",
                 List.of(alive("a", 2, 3))));
         assertEquals(replacedBy, alive("a", 2, 3));
         sent.clear();
         advanceTo(50_000, "");
-        assertTrue(sent.isEmpty(), "it goes on speaking");
+        assertTrue(sent.isEmpty(), "a replaced process must not send any more");
     }
 
     public void restartedProcessTakesAHigherIncarnation() {
-        members = new SwimMembership(MembershipConfig.DEFAULT, "a", "", 1, 500, NAMES, 7, now);
-        receive(new MembershipMessage(MembershipMessage.Kind.SYNC_REPLY, alive("b", 1, 9), 1, "",
+        membership = new SwimMembership(MembershipConfig.DEFAULT, "a", "", 1, 500, NAMES, 7, now);
+        receive(new MembershipMessage(Kind.SYNC_REPLY, alive("b", 1, 9), 1, "",
                 List.of(alive("a", 4, 800))));
         assertNull(replacedBy);
-        assertEquals(members.self().incarnation(), 5);
-        assertEquals(members.self().nonce(), 500);
+        assertEquals(membership.self().incarnation(), 5);
+        assertEquals(membership.self().nonce(), 500);
     }
 
     public void leavingMemberAnnouncesItAndDoesNotRefute() {
-        members.leave();
-        receive(new MembershipMessage(MembershipMessage.Kind.PROBE, alive("b", 1, 9), 1, "",
-                List.of(members.self().withState(State.DEAD, "d"))));
-        assertEquals(members.self().state(), State.LEFT);
+        membership.leave();
+        receive(new MembershipMessage(Kind.PROBE, alive("b", 1, 9), 1, "",
+                List.of(membership.self().withState(State.DEAD, "d"))));
+        assertEquals(membership.self().state(), State.LEFT);
         assertEquals(sent.get(sent.size() - 1).message().sender().state(), State.LEFT);
     }
 }
