--- a/peers/src/main/java/vetchrill/store/Disk.java
+++ b/peers/src/main/java/vetchrill/store/Disk.java
@@ -5,15 +5,16 @@
 import java.util.List;
 
 /**
- * The few calls that a store needs of a folder, so that whatever a power loss does to one can be played by whoever
- * implements them. Names are plain; nothing but what was synced is promised to be there after a loss.
+ * The directory operations that a {@link DurableStore} needs, behind an interface so that tests can simulate power loss
+ * and disk faults. Names are plain file names without a path. Only what was synced is guaranteed to survive a power
+ * loss.
  */
 public interface Disk {
-    /** A file that is written at its end only. */
+    /** A file that is only appended to. */
     interface AppendFile extends Closeable {
         void write(byte[] bytes) throws IOException;
 
-        /** What was written is on the disk when it returns. */
+        /** Returns when everything written so far is on the disk. */
         void sync() throws IOException;
     }
 
@@ -21,14 +22,15 @@
 
     byte[] readFile(String name) throws IOException;
 
-    /** An empty file, whatever was there under its name. */
+    /** Creates an empty file, or truncates the existing one of that name. */
     AppendFile create(String name) throws IOException;
 
-    /** Replaces what is there under the other name. */
+    /** Replaces any file named {@code to}. */
     void rename(String from, String to) throws IOException;
 
+    /** Does nothing where there is no file of that name. */
     void delete(String name) throws IOException;
 
-    /** Which names there are is on the disk when it returns. */
+    /** Returns when all file creations, renames and deletions so far are on the disk. */
     void syncDirectory() throws IOException;
 }
--- a/peers/src/main/java/vetchrill/store/DurableStore.java
+++ b/peers/src/main/java/vetchrill/store/DurableStore.java
@@ -13,39 +13,47 @@
 import java.util.zip.CRC32C;
 
 /**
- * The facts of one instance, in a log and snapshots of it. Each commit is one frame with a checksum and a number that
- * grows by one, so that a commit is there whole or not at all, and a hole shows. A log that has grown enough is
- * followed by the next one, and what is held is written beside it, a slice with each commit, as a snapshot: until that
- * has its end, the one before counts with all logs from its number on. What is changed while the snapshot is written
- * stands in the new log as well, so it needs no copy of what was held. Not for several threads.
+ * A durable key-value store of one instance: a write-ahead log and snapshots. Each commit is one frame with a checksum
+ * and a commit number that grows by one, so a commit is there whole or not at all, and a missing one is detected.
  *
- * <p>Frames: {@code VFRM}, size of the body, CRC-32C of number and body, number, body (big-endian). A file begins with
- * a frame of kind H: format, owner, and the number of the last commit before it.
+ * <p>When the log has grown to its maximum, the store starts the next log and, beside it, a snapshot of the same
+ * number, written incrementally with the commits that follow (compaction). Until the snapshot has its end frame,
+ * recovery uses the previous snapshot and all logs from that one's number on. Changes made while the snapshot is
+ * written are in the new log as well, so the snapshot needs no copy of the entries at its start.
+ *
+ * <p>Frame format, big-endian: magic {@code VFRM}, size of the body, CRC-32C of number and body, commit number, body.
+ * The first byte of a body is the kind of the frame. A file begins with a frame of kind H: format, owner, and the
+ * number of the last commit before the file. Not thread-safe.
  */
 public final class DurableStore implements Closeable {
-    /** What was met on the disk. */
+    /** What recovery found on the disk, in the order of severity. */
     public enum RecoveryOutcome {
-        /** Nothing at all. */
+        /** No files. */
         EMPTY,
+        /** All commits are intact. */
         WHOLE,
-        /** The last commit was cut short: nobody was told of it. */
+        /** The last commit was cut short; it was never acknowledged. */
         TORN,
-        /** Commits that had been made are gone or spoilt: what is left may be of an earlier time. */
+        /** Acknowledged commits are missing or corrupt: the recovered entries may be of an earlier time. */
         DAMAGED,
-        /** It belongs to another name. */
+        /** The files belong to an instance of another name; nothing of them is used. */
         FOREIGN
     }
 
-    /** No room for more: nothing of the commit is there. */
+    /** The commit would exceed the capacity; nothing of it was written. */
     public static final class StoreFullException extends IOException {
         private static final long serialVersionUID = 1;
 
         StoreFullException(long liveBytes) {
-            super("the store is full: " + liveBytes + " octets are held");
+            super("the store is full: " + liveBytes + " bytes are in use");
         }
     }
 
     private static final int FRAME_HEADER_BYTES = 20;
+    private static final int FRAME_CRC_OFFSET_BYTES = 8;
+    /** Of the commit number, the first field that the checksum covers. */
+    private static final int FRAME_NUMBER_OFFSET_BYTES = 12;
+    /** {@code VFRM}. */
     private static final int FRAME_MAGIC = 0x5646524d;
     private static final String FORMAT = "VFACTS01";
     private static final byte HEADER_FRAME = 'H';
@@ -55,19 +63,23 @@
     private static final String LOG_SUFFIX = ".log";
     private static final String SNAPSHOT_SUFFIX = ".snap";
     private static final String FILE_NAME_PATTERN = "[0-9]{8}\\.(log|snap)";
+    /** Of damaged or foreign files that are kept for staff. */
     private static final String ASIDE_PREFIX = "aside-";
     private static final int SNAPSHOT_FRAME_BYTES = 64 << 10;
-    /** Heads and ends of a log and its snapshot, and some for slices. */
+    /** Header and end frames of a log and its snapshot, and some for the framing of snapshot entries. */
     private static final int FRAMING_RESERVE_BYTES = 2 << 10;
-    /** What a fact takes in a frame besides its key and value. */
+    /** Size of an entry in a frame besides its key and value. */
     private static final int ENTRY_OVERHEAD_BYTES = 7;
-    /** Least that can be said to be a bound: four parts of it hold a log or a snapshot each. */
+    /** Bytes of the snapshot that are written for each byte of the log. */
+    private static final long SNAPSHOT_TO_LOG_RATIO = 3;
+    /** Smallest capacity: a quarter of it has to hold a log or a snapshot. */
     public static final long MIN_CAPACITY_BYTES = 1 << 16;
 
+    /** The header of a file; {@code size} is that of its frame. */
     private record FileHeader(long precedingCommit, int size) {
     }
 
-    /** A frame as it lies in a file. */
+    /** An intact frame of a file; {@code nextOffset} is where the next one begins. */
     private record Frame(byte kind, long commitNumber, ByteBuffer body, int nextOffset) {
     }
 
@@ -81,41 +93,42 @@
     private long lastCommit;
     private RecoveryOutcome outcome = RecoveryOutcome.EMPTY;
     private String problem = "";
-    /** Of the log that is written, and of the snapshot beside it. */
+    /** Of the current log and the snapshot beside it. */
     private long fileNumber;
     private Disk.AppendFile logFile;
     private long logBytes;
     private Disk.AppendFile snapshotFile;
     private String lastSnapshotKey;
-    /** Commits before the log that is written. */
+    /** The last commit before the current log. */
     private long precedingCommit;
-    /** Octets of the snapshot that are due for what went to the log since. */
+    /** Bytes of the snapshot still to be written for what was committed to the log. */
     private long snapshotBytesDue;
-    /** What lies there that must not be written over, as it may be of use to staff. */
+    /** Damaged or foreign files were found, which are kept under another name for staff to examine. */
     private boolean setAsidePending;
-    /** Octets of each file that counts. */
+    /** Of all files that are not set aside, by name. */
     private final Map<String, Long> fileSizes = new TreeMap<>();
-    /** Files that no longer count, or never did. */
+    /** Files to delete: superseded by a complete snapshot, or abandoned. */
     private final List<String> obsoleteFiles = new ArrayList<>();
 
     /**
-     * Reads what is there, and writes nothing before the first commit. {@code bound} is on all files together, in
-     * octets; a quarter of it is the most that can be held.
+     * Recovers what is on the disk; writes nothing before the first commit. {@code capacityBytes} limits all files
+     * together, apart from those set aside; less than a quarter of it is available for entries.
      */
     public DurableStore(Disk disk, String owner, long capacityBytes) throws IOException {
         if (capacityBytes < MIN_CAPACITY_BYTES) {
-            throw new IllegalArgumentException("a bound under " + MIN_CAPACITY_BYTES);
+            throw new IllegalArgumentException("the capacity is below the minimum of " + MIN_CAPACITY_BYTES);
         }
         this.disk = disk;
         this.owner = owner;
         this.capacityBytes = capacityBytes;
-        // A snapshot, the log after it, and their successors: of an eighth in each is kept for heads and slices.
+        // The four quarters are for a snapshot, its log, and the next snapshot and log; an eighth of a snapshot's
+        // quarter and a sixteenth of a log's are kept for framing.
         maxLiveBytes = capacityBytes / 4 - capacityBytes / 32;
         maxLogBytes = capacityBytes / 4 - capacityBytes / 64;
         recover();
     }
 
-    // What is there.
+    // Recovery.
 
     private void recover() throws IOException {
         TreeMap<Long, byte[]> logs = new TreeMap<>();
@@ -152,6 +165,7 @@
         setAsidePending = outcome == RecoveryOutcome.DAMAGED || outcome == RecoveryOutcome.FOREIGN;
     }
 
+    /** Keeps the most severe problem only. */
     private void recordProblem(RecoveryOutcome newOutcome, String description) {
         if (newOutcome.compareTo(outcome) > 0) {
             outcome = newOutcome;
@@ -159,19 +173,19 @@
         }
     }
 
-    /** Whether it is one with its end; then the facts are those of it. */
+    /** Replaces the entries by those of a snapshot; returns false, and changes none, if it has no end frame. */
     private boolean loadSnapshot(byte[] bytes) {
         FileHeader header = readHeader(bytes);
         if (header == null) {
             return false;
         }
         TreeMap<String, byte[]> loaded = new TreeMap<>();
-        Frame frame = frame(bytes, header.size);
+        Frame frame = readFrame(bytes, header.size);
         while (frame != null && frame.kind == SNAPSHOT_FRAME) {
             for (Change each : decodeChanges(frame.body)) {
                 loaded.put(each.key(), each.value());
             }
-            frame = frame(bytes, frame.nextOffset);
+            frame = readFrame(bytes, frame.nextOffset);
         }
         if (frame == null || frame.kind != SNAPSHOT_END_FRAME) {
             return false;
@@ -192,13 +206,14 @@
         for (int i = 0; i < contents.size() && outcome != RecoveryOutcome.FOREIGN; i++) {
             FileHeader header = headers.get(i);
             if (header == null) {
-                // Its first write never came to the disk whole, and nothing was committed to it; else that shows.
+                // The header was never written completely, so nothing was committed to this log, unless there is an
+                // intact commit in it: then it is damaged.
                 long intactCommit = lastIntactCommit(contents.get(i), 0, lastCommit);
                 if (intactCommit > 0) {
-                    recordProblem(RecoveryOutcome.DAMAGED, "a log that holds commits up to " + intactCommit
-                            + " has no head");
+                    recordProblem(RecoveryOutcome.DAMAGED, "a log with commits up to " + intactCommit
+                            + " has no header");
                 } else if (i == contents.size() - 1) {
-                    recordProblem(RecoveryOutcome.TORN, "a log without its head");
+                    recordProblem(RecoveryOutcome.TORN, "a log has no header");
                 }
                 continue;
             }
@@ -208,28 +223,30 @@
             }
             if (header.precedingCommit > lastCommit) {
                 recordProblem(RecoveryOutcome.DAMAGED, "commits " + (lastCommit + 1) + " to " + header.precedingCommit
-                        + " are gone");
+                        + " are missing");
                 lastCommit = header.precedingCommit;
             }
             replay(contents.get(i), header, lastValid);
         }
         if (contents.isEmpty() && !snapshotLoaded) {
-            // Of the very first two files one may come to be without the other: nothing was committed by then.
+            // After a crash at the first start one of the first two files may exist without the other: nothing was
+            // committed by then.
             recordProblem(noEarlierCommits ? RecoveryOutcome.TORN : RecoveryOutcome.DAMAGED,
-                    "a snapshot without its end, and no log");
+                    "an incomplete snapshot, and no log");
         }
     }
 
-    /** Commits past {@code until} were never told to be there: the next log took their numbers. */
+    /** Commits past {@code lastValid} were never acknowledged: the next log reuses their numbers. */
     private void replay(byte[] bytes, FileHeader header, long lastValid) {
         int offset = header.size;
         long lastReplayed = header.precedingCommit;
-        for (Frame frame = frame(bytes, offset); frame != null && frame.kind == COMMIT_FRAME && frame.commitNumber
-                == lastReplayed + 1
-                && frame.commitNumber <= lastValid; frame = frame(bytes, offset)) {
+        for (Frame frame = readFrame(bytes, offset);
+                frame != null && frame.kind == COMMIT_FRAME && frame.commitNumber == lastReplayed + 1
+                && frame.commitNumber <= lastValid; frame = readFrame(bytes, offset)) {
             lastReplayed = frame.commitNumber;
             offset = frame.nextOffset;
-            // Part of it may be in the snapshot, which is later in what it holds: done again it comes out the same.
+            // The snapshot may already contain some of these changes or later ones; replaying all of them in order
+            // ends with the same entries.
             lastCommit = Math.max(lastCommit, lastReplayed);
             for (Change each : decodeChanges(frame.body)) {
                 applyChange(each.key(), each.value());
@@ -238,27 +255,28 @@
         if (lastValid != Long.MAX_VALUE) {
             if (lastReplayed < lastValid) {
                 recordProblem(RecoveryOutcome.DAMAGED, "commits " + (lastReplayed + 1) + " to " + lastValid
-                        + " are spoilt");
+                        + " are corrupt");
                 lastCommit = Math.max(lastCommit, lastValid);
             }
         } else if (offset < bytes.length) {
             long intactCommit = lastIntactCommit(bytes, offset, lastReplayed);
             if (intactCommit > 0) {
                 recordProblem(RecoveryOutcome.DAMAGED, "commits " + (lastReplayed + 1) + " to " + intactCommit
-                        + " are spoilt or follow what is");
+                        + " are corrupt or follow a corrupt one");
                 lastCommit = Math.max(lastCommit, intactCommit);
             } else {
-                recordProblem(RecoveryOutcome.TORN, (bytes.length - offset) + " octets of a commit that was not made");
+                recordProblem(RecoveryOutcome.TORN, (bytes.length - offset) + " bytes of an incomplete commit");
             }
         }
     }
 
-    /** The highest commit that is whole behind what is broken; 0 for none. */
+    /** The highest intact commit past {@code lastReplayed} at or behind {@code start}; 0 for none. */
     private static long lastIntactCommit(byte[] bytes, int start, long lastReplayed) {
         long highest = 0;
         for (int offset = start; offset + FRAME_HEADER_BYTES <= bytes.length; offset++) {
+            // The first byte of the magic number.
             if (bytes[offset] == 'V') {
-                Frame frame = frame(bytes, offset);
+                Frame frame = readFrame(bytes, offset);
                 if (frame != null && frame.kind == COMMIT_FRAME && frame.commitNumber > lastReplayed) {
                     highest = Math.max(highest, frame.commitNumber);
                     offset = frame.nextOffset - 1;
@@ -268,9 +286,9 @@
         return highest;
     }
 
-    /** Null where it has none. Marks the whole as foreign where it is another's. */
+    /** Returns null if there is no valid header. Records it as a problem if format or owner are others. */
     private FileHeader readHeader(byte[] bytes) {
-        Frame frame = frame(bytes, 0);
+        Frame frame = readFrame(bytes, 0);
         if (frame == null || frame.kind != HEADER_FRAME) {
             return null;
         }
@@ -278,18 +296,18 @@
         byte[] ownerBytes = new byte[frame.body.remaining() - format.length];
         frame.body.get(format).get(ownerBytes);
         if (!FORMAT.equals(new String(format, StandardCharsets.US_ASCII))) {
-            recordProblem(RecoveryOutcome.DAMAGED, "a format of " + new String(format, StandardCharsets.US_ASCII));
+            recordProblem(RecoveryOutcome.DAMAGED, "unknown format " + new String(format, StandardCharsets.US_ASCII));
             return null;
         }
         String fileOwner = new String(ownerBytes, StandardCharsets.UTF_8);
         if (!fileOwner.equals(owner)) {
-            recordProblem(RecoveryOutcome.FOREIGN, "it belongs to " + fileOwner);
+            recordProblem(RecoveryOutcome.FOREIGN, "it belongs to instance " + fileOwner);
         }
         return new FileHeader(frame.commitNumber, frame.nextOffset);
     }
 
-    /** Null where there is no whole one. */
-    private static Frame frame(byte[] bytes, int offset) {
+    /** Returns null if there is no intact frame at that offset. */
+    private static Frame readFrame(byte[] bytes, int offset) {
         if (bytes.length - offset < FRAME_HEADER_BYTES) {
             return null;
         }
@@ -299,11 +317,11 @@
         }
         int size = buffer.getInt();
         int crc = buffer.getInt();
-        if (size < 1 || size > buffer.remaining() - 8) {
+        if (size < 1 || size > buffer.remaining() - Long.BYTES) {
             return null;
         }
         CRC32C computed = new CRC32C();
-        computed.update(bytes, offset + 12, 8 + size);
+        computed.update(bytes, offset + FRAME_NUMBER_OFFSET_BYTES, Long.BYTES + size);
         if ((int) computed.getValue() != crc) {
             return null;
         }
@@ -338,15 +356,16 @@
         liveBytes += (value == null ? 0 : entryBytes(key, value)) - (previous == null ? 0 : entryBytes(key, previous));
     }
 
-    // What is done.
+    // Commits.
 
     /**
-     * All of these changes or none, and on the disk when it returns. Throws Full where there is no room, and
-     * IOException where the disk failed: the commit is not there then, whatever may lie on the disk of it.
-     * {@code binding} may use what is kept free for such.
+     * Makes all of these changes atomically; they are on the disk when it returns. Throws StoreFullException if there
+     * is no room, and IOException if the disk fails: the commit is void then, whatever of it may be on the disk. With
+     * {@code mayUseReserve} the commit may use the last eighth of the room for entries, which is kept free for changes
+     * that bind the instance, such as a voter's promises.
      */
     public void commit(List<Change> changes, boolean mayUseReserve) throws IOException {
-        byte[] frame = frame(COMMIT_FRAME, lastCommit + 1, encodeChanges(changes));
+        byte[] frame = encodeFrame(COMMIT_FRAME, lastCommit + 1, encodeChanges(changes));
         long growth = 0;
         for (Change each : changes) {
             byte[] previous = entries.get(each.key());
@@ -370,7 +389,7 @@
             logFile.write(frame);
             logFile.sync();
         } catch (IOException e) {
-            // What lies on the disk of it must not count: the next log begins with the number that this one had.
+            // Whatever of it is on the disk is void: the next log begins with the number of this commit.
             close();
             throw e;
         }
@@ -379,7 +398,7 @@
         for (Change each : changes) {
             applyChange(each.key(), each.value());
         }
-        snapshotBytesDue += 3L * frame.length;
+        snapshotBytesDue += SNAPSHOT_TO_LOG_RATIO * frame.length;
         try {
             while (snapshotFile != null && snapshotBytesDue > 0) {
                 writeSnapshotFrame();
@@ -389,12 +408,12 @@
         }
     }
 
-    /** Another log, and beside it another snapshot of what is held now. */
+    /** Starts the next log and, beside it, a snapshot of the current entries. */
     private void startNextLog() throws IOException {
         close();
         deleteObsoleteFiles();
         if (totalFileBytes() + liveBytes + FRAMING_RESERVE_BYTES > capacityBytes) {
-            throw new IOException("no room for another snapshot before an older log could be given up");
+            throw new IOException("no room for another snapshot until an older log can be deleted");
         }
         fileNumber++;
         precedingCommit = lastCommit;
@@ -411,13 +430,14 @@
             logFile.sync();
             snapshotFile.write(header);
             disk.syncDirectory();
-            // After losses in a row there are several logs, which are not to grow past the bound together; and beside
-            // what is damaged or another's nothing counts before there is a snapshot that stands by itself.
+            // The snapshot is completed at once where, after several crashes in a row, there are so many logs that
+            // they might exceed the capacity together; and beside damaged or foreign files, since no commit is valid
+            // before there is a snapshot that does not depend on them.
             while (snapshotFile != null && (setAsidePending || totalFileBytes() > capacityBytes / 8 * 5)) {
                 writeSnapshotFrame();
             }
         } catch (IOException e) {
-            // Nothing was committed to it.
+            // Nothing was committed to this log.
             obsoleteFiles.add(fileName(fileNumber, LOG_SUFFIX));
             close();
             throw e;
@@ -432,7 +452,7 @@
         return String.format("%08d%s", number, suffix);
     }
 
-    /** One part of the snapshot; the last makes it count and what came before it superfluous. */
+    /** Writes the next frame of the snapshot. The last one completes it and makes all older files obsolete. */
     private void writeSnapshotFrame() throws IOException {
         List<Change> batch = new ArrayList<>();
         long size = 0;
@@ -445,14 +465,14 @@
             entry = entries.higherEntry(lastSnapshotKey);
         }
         if (!batch.isEmpty()) {
-            byte[] frame = frame(SNAPSHOT_FRAME, lastCommit, encodeChanges(batch));
+            byte[] frame = encodeFrame(SNAPSHOT_FRAME, lastCommit, encodeChanges(batch));
             addFileBytes(fileNumber, SNAPSHOT_SUFFIX, frame.length);
             snapshotFile.write(frame);
             snapshotBytesDue -= frame.length;
             return;
         }
-        // Its number is of the last commit before its log: all that came since stands there.
-        byte[] endFrame = frame(SNAPSHOT_END_FRAME, precedingCommit, new byte[0]);
+        // Its number is that of the last commit before the log beside it, which has all later ones.
+        byte[] endFrame = encodeFrame(SNAPSHOT_END_FRAME, precedingCommit, new byte[0]);
         addFileBytes(fileNumber, SNAPSHOT_SUFFIX, endFrame.length);
         snapshotFile.write(endFrame);
         snapshotFile.sync();
@@ -460,7 +480,7 @@
         snapshotFile.close();
         snapshotFile = null;
         snapshotBytesDue = 0;
-        // From here on what came before is superfluous; what of it can't be given up now is by and by.
+        // All older files are obsolete now; those that can't be deleted at once are tried again later.
         for (String each : fileSizes.keySet()) {
             if (Long.parseLong(each.substring(0, 8)) < fileNumber && !obsoleteFiles.contains(each)) {
                 obsoleteFiles.add(each);
@@ -484,10 +504,10 @@
         byte[] ownerBytes = owner.getBytes(StandardCharsets.UTF_8);
         ByteBuffer body = ByteBuffer.allocate(FORMAT.length() + ownerBytes.length);
         body.put(FORMAT.getBytes(StandardCharsets.US_ASCII)).put(ownerBytes);
-        return frame(HEADER_FRAME, lastCommit, body.array());
+        return encodeFrame(HEADER_FRAME, lastCommit, body.array());
     }
 
-    /** What must not be written over, for staff to look at; of such there is one at a time. */
+    /** Keeps the obsolete files under other names for staff to examine, in place of any set aside earlier. */
     private void setObsoleteFilesAside() throws IOException {
         for (String each : disk.fileNames()) {
             if (each.startsWith(ASIDE_PREFIX)) {
@@ -503,12 +523,12 @@
         setAsidePending = false;
     }
 
-    private static byte[] frame(byte kind, long number, byte[] body) {
+    private static byte[] encodeFrame(byte kind, long number, byte[] body) {
         ByteBuffer frame = ByteBuffer.allocate(FRAME_HEADER_BYTES + 1 + body.length);
         frame.putInt(FRAME_MAGIC).putInt(1 + body.length).putInt(0).putLong(number).put(kind).put(body);
         CRC32C crc = new CRC32C();
-        crc.update(frame.array(), 12, 9 + body.length);
-        return frame.putInt(8, (int) crc.getValue()).array();
+        crc.update(frame.array(), FRAME_NUMBER_OFFSET_BYTES, Long.BYTES + 1 + body.length);
+        return frame.putInt(FRAME_CRC_OFFSET_BYTES, (int) crc.getValue()).array();
     }
 
     private static byte[] encodeChanges(List<Change> changes) {
@@ -531,7 +551,7 @@
         return body.array();
     }
 
-    /** A slice of a snapshot that is being written, for idle times; false where there is none. */
+    /** Writes a frame of the unfinished snapshot, for idle times; returns false if there is none. */
     public boolean continueSnapshot() throws IOException {
         if (snapshotFile == null) {
             return false;
@@ -545,28 +565,28 @@
         return true;
     }
 
-    // What is known.
+    // State.
 
     public RecoveryOutcome outcome() {
         return outcome;
     }
 
-    /** What is wrong with it; empty where nothing is. */
+    /** Describes the worst problem that recovery found; empty for none. */
     public String problem() {
         return problem;
     }
 
-    /** All that is held, by key; not to be changed. */
+    /** All entries by key, unmodifiable. */
     public NavigableMap<String, byte[]> entries() {
         return Collections.unmodifiableNavigableMap(entries);
     }
 
-    /** Commits made, over all starts. */
+    /** The number of the last commit, counted over all starts. */
     public long lastCommit() {
         return lastCommit;
     }
 
-    /** Octets of all files that count; such as were put aside come on top of it. */
+    /** Without the files that were set aside. */
     private long totalFileBytes() {
         long total = 0;
         for (long each : fileSizes.values()) {
@@ -575,7 +595,7 @@
         return total;
     }
 
-    /** What is begun is given up: what counts is on the disk. */
+    /** Abandons an unfinished snapshot; all commits are on the disk already. */
     @Override
     public void close() {
         if (snapshotFile != null) {
@@ -587,7 +607,7 @@
                     each.close();
                 }
             } catch (IOException e) {
-                // Nothing that counts hangs on it.
+                // Ignored: all acknowledged commits are synced.
             }
         }
         logFile = null;
--- a/peers/src/main/java/vetchrill/store/FolderDisk.java
+++ b/peers/src/main/java/vetchrill/store/FolderDisk.java
@@ -12,12 +12,12 @@
 import java.nio.file.StandardOpenOption;
 import java.util.List;
 
-/** A folder of the file system. One process at a time has it, unless it is only read. */
+/** A directory of the file system, locked by one process at a time unless it is opened read-only. */
 public final class FolderDisk implements Disk, Closeable {
     private static final String LOCK_FILE = "lock";
 
     private final Path folder;
-    /** Null where the folder is only read. */
+    /** Null when read-only. */
     private final FileChannel lock;
 
     private FolderDisk(Path folder, FileChannel lock) {
@@ -25,7 +25,10 @@
         this.lock = lock;
     }
 
-    /** Throws IOException where the folder is of no use, or another process has it. */
+    /**
+     * Opens a directory for writing, creating it if needed. Throws IOException if it can't be used or another process
+     * has the lock.
+     */
     public static FolderDisk openLocked(Path folder) throws IOException {
         Files.createDirectories(folder);
         FileChannel lock = FileChannel.open(folder.resolve(LOCK_FILE), StandardOpenOption.CREATE,
@@ -38,15 +41,15 @@
         }
         if (acquired == null) {
             lock.close();
-            throw new IOException(folder + " is held by another process");
+            throw new IOException(folder + " is locked by another process");
         }
         return new FolderDisk(folder, lock);
     }
 
-    /** To look at, whoever has it. */
-    public static FolderDisk read(Path folder) throws IOException {
+    /** Opens a directory read-only, without its lock. */
+    public static FolderDisk openReadOnly(Path folder) throws IOException {
         if (!Files.isDirectory(folder)) {
-            throw new IOException(folder + " is no folder");
+            throw new IOException(folder + " is not a directory");
         }
         return new FolderDisk(folder, null);
     }
@@ -66,7 +69,7 @@
 
     private void requireWritable() throws IOException {
         if (lock == null) {
-            throw new IOException(folder + " is only read here");
+            throw new IOException(folder + " is opened read-only");
         }
     }
 
--- a/peers/src/main/java/vetchrill/store/StoreWriter.java
+++ b/peers/src/main/java/vetchrill/store/StoreWriter.java
@@ -7,12 +7,13 @@
 import vetchrill.transport.Resources;
 
 /**
- * A journal with a thread of its own: whoever wants something kept never waits for the disk, and what came while it was
- * written before goes out together with one sync. What waits is bounded.
+ * Commits to a {@link DurableStore} on a thread of its own, so that callers never wait for the disk. Requests that
+ * arrive during a commit are written together with one sync (group commit). The queue of requests is bounded.
  */
 public final class StoreWriter {
-    /** Told on the vault's thread whether it is on the disk; false where it is not, for good. */
+    /** Notified on the writer's thread of the outcome of a request. */
     public interface CommitCallback {
+        /** {@code durable} is false where the changes are not on the disk; the request is not retried. */
         void completed(boolean durable);
     }
 
@@ -25,9 +26,10 @@
 
     private final DurableStore store;
     private final LinkedBlockingQueue<CommitRequest> requests;
+    /** Set by a failure, cleared by the next successful commit; only the first failure in a row is logged. */
     private boolean failing;
 
-    /** {@code most} wishes wait at a time. */
+    /** At most {@code maxPending} requests are queued. */
     public StoreWriter(DurableStore store, int maxPending) {
         this.store = store;
         requests = new LinkedBlockingQueue<>(maxPending);
@@ -37,7 +39,10 @@
         Resources.newDaemonThread("store", this::run, stackBytes).start();
     }
 
-    /** False where too many wait already: nothing is kept then, and nobody told. On any thread, never waits. */
+    /**
+     * Queues a commit, on any thread and without waiting. Returns false if the queue is full; the callback is not
+     * called then. {@code mayUseReserve} is as in {@link DurableStore#commit}.
+     */
     public boolean submit(List<Change> changes, boolean mayUseReserve, CommitCallback callback) {
         return requests.offer(new CommitRequest(List.copyOf(changes), mayUseReserve, callback));
     }
@@ -99,7 +104,7 @@
             commit(changes, batch.size() == 1 && batch.get(0).mayUseReserve);
             durable = true;
         } catch (DurableStore.StoreFullException e) {
-            // Where there is no room for all of them there may be for some, and for what binds.
+            // There may still be room for some of them, and for those that may use the reserve.
             batch.forEach(this::commitSingly);
             return;
         } catch (IOException e) {
@@ -129,7 +134,7 @@
     private void logFailure(IOException e) {
         if (!failing) {
             failing = true;
-            LOG.log(System.Logger.Level.ERROR, "the store keeps nothing: {0}", String.valueOf(e.getMessage()));
+            LOG.log(System.Logger.Level.ERROR, "writing to the store fails: {0}", String.valueOf(e.getMessage()));
         }
     }
 }
--- a/peers/src/test/java/vetchrill/peers/StatusFormatTest.java
+++ b/peers/src/test/java/vetchrill/peers/StatusFormatTest.java
@@ -56,7 +56,7 @@
         now = 1_000_000;
         VersionsConfig terms = new VersionsConfig(List.of(OTHER), List.of(SELF, OTHER, "instance-3"), 30_000, 5_000,
                 100_000, true);
-        InstanceStore store = new InstanceStore(FolderDisk.read(FormatExamples.path("store")), SELF,
+        InstanceStore store = new InstanceStore(FolderDisk.openReadOnly(FormatExamples.path("store")), SELF,
                 DurableStore.MIN_CAPACITY_BYTES);
         agreement = new VersionService(terms, SELF, "zone-a", "", 5, store, 1, () -> now,
                 new HybridLogicalClock(() -> 1), null,
--- a/peers/src/test/java/vetchrill/peers/StoreFormatTest.java
+++ b/peers/src/test/java/vetchrill/peers/StoreFormatTest.java
@@ -54,7 +54,7 @@
     }
 
     public void theJournalReadsTheFiles() throws Exception {
-        DurableStore journal = new DurableStore(FolderDisk.read(FormatExamples.path("store")), OWNER,
+        DurableStore journal = new DurableStore(FolderDisk.openReadOnly(FormatExamples.path("store")), OWNER,
                 DurableStore.MIN_CAPACITY_BYTES);
         assertEquals(journal.outcome(), DurableStore.RecoveryOutcome.WHOLE, journal.problem());
         assertEquals(journal.lastCommit(), 3);
@@ -64,7 +64,7 @@
     }
 
     public void theStoreReadsTheMemoryInTheFiles() throws Exception {
-        InstanceStore store = new InstanceStore(FolderDisk.read(FormatExamples.path("store")), OWNER,
+        InstanceStore store = new InstanceStore(FolderDisk.openReadOnly(FormatExamples.path("store")), OWNER,
                 DurableStore.MIN_CAPACITY_BYTES);
         DurableState read = store.recoveredState();
         DurableState wanted = FormatExamples.memory();
