--- a/instance/src/main/java/vetchrill/control/Exchange.java
+++ b/instance/src/main/java/vetchrill/control/Exchange.java
@@ -1,15 +1,16 @@
 package vetchrill.control;
 
-/** One exchange read by this instance, and what is known of it. Whoever reads it sets the public fields. */
+/** An exchange read by this instance, and its state. Whoever reads it sets the public fields. */
 public class Exchange {
+    /** AWAITING_CALL is before a call, or between its attempts; CALLING is during one. */
     public enum Stage { PENDING, RUNNING, AWAITING_CALL, CALLING, REPLAYING, FINISHED }
 
-    /** How a run or a call ended. */
+    /** How a run, a replay or a call ended. */
     public enum Outcome {
-        COMPLETED(false), ERRORED(false), CALLEE_SATURATED(true), TIMED_OUT(false), CONNECTION_REFUSED(true),
-                CONNECTION_LOST(false),
-        PREEMPTED(false), NOT_STARTED(true);
+        COMPLETED(false), ERRORED(false), CALLEE_SATURATED(true), TIMED_OUT(false),
+        CONNECTION_REFUSED(true), CONNECTION_LOST(false), PREEMPTED(false), NOT_STARTED(true);
 
+        /** Whether the work certainly was not started, so that even a mutating call may be retried. */
         public final boolean provesNotRun;
 
         Outcome(boolean provesNotRun) {
@@ -20,16 +21,16 @@
     public EndpointGroup group;
     public int customer;
     public long arrivedAt;
-    /** When the caller gives up by its own word; 0 where it does not say. */
+    /** When the caller stops waiting; 0 where it does not say. */
     public long callerDeadline;
-    /** Core time it is said to need; 0 where nothing is said. */
+    /** Core time that the caller declares it to need; 0 where none is declared. */
     public long declaredCoreTime;
     public double sizeKb;
-    /** By which version it is decided, from its arrival to its end; 0 where there are none. */
+    /** Version of the settings that applies to it from its arrival to its end; 0 where there are none. */
     public long version;
-    /** It was tried before, here or elsewhere; never set where further tries are not marked. */
+    /** Whether it was attempted before, here or at another server; never set where callers do not mark retries. */
     public boolean retry;
-    /** It repeats a remembered exchange: {@code prior}, or null when that has long been forgotten. */
+    /** Whether it repeats an exchange with a stored key: {@link #original}, or null if that is no longer known. */
     public boolean repeat;
     public Exchange original;
 
@@ -46,7 +47,7 @@
     long callRequestedAt;
     long timeAtCalls;
     int failedCallAttempts;
-    /** Some call that it made may have taken effect. */
+    /** Whether some failed attempt of the present call may have taken effect. */
     boolean callMayHaveRun;
     long nextCallAt;
 
--- a/instance/src/main/java/vetchrill/control/Histogram.java
+++ b/instance/src/main/java/vetchrill/control/Histogram.java
@@ -1,21 +1,23 @@
 package vetchrill.control;
 
-/** Counts in bins that each span half an octave, halved when full so that the past fades. */
+/** A histogram of bins that each span half an octave; all counts are halved regularly, so that old values fade. */
 final class Histogram {
     private static final int BIN_COUNT = 48;
+    /** Total count at which all counts are halved. */
     private static final int HALVE_AT_COUNT = 64;
     private static final double[] BIN_MIDDLE = new double[BIN_COUNT];
 
     static {
         BIN_MIDDLE[0] = 0;
         for (int i = 1; i < BIN_COUNT; i++) {
+            // Half of a half octave: 2 to the power of 1/4 is about 1.19.
             BIN_MIDDLE[i] = Math.pow(2, (i - 1) / 2.0) * 1.19;
         }
     }
 
     private final float[] counts = new float[BIN_COUNT];
     private float total;
-    /** The mean, or NaN until it is asked for again: a crowd asks for it many times between two additions. */
+    /** The mean, or NaN until it is next read: a long pending queue reads it many times between two additions. */
     private double cachedMean = Double.NaN;
 
     void add(long value) {
@@ -48,6 +50,7 @@
         return cachedMean;
     }
 
+    /** The middle of the bin that holds the quantile {@code ratio}, from 0 to 1. */
     double quantile(double ratio, double ifEmpty) {
         if (total == 0) {
             return ifEmpty;
@@ -62,6 +65,7 @@
         return BIN_MIDDLE[BIN_COUNT - 1];
     }
 
+    /** Bin 0 for zero and below, then two bins for each power of two. */
     private static int bin(long value) {
         if (value <= 0) {
             return 0;
--- a/instance/src/main/java/vetchrill/control/Host.java
+++ b/instance/src/main/java/vetchrill/control/Host.java
@@ -1,43 +1,51 @@
 package vetchrill.control;
 
-/** What the controller may ask of the process it lives in. Each method is one act, carried out at once. */
+/**
+ * The actions that the controller can ask of the process it runs in. Each method is one action, carried out at once.
+ * Times and durations are tenths of a millisecond.
+ */
 public interface Host {
-    /** Starts a held exchange, or lets a paused one go on. */
+    /** Starts a pending exchange, or resumes a paused one. */
     void begin(Exchange ex);
 
-    /** Final answer: turned away, promising that it never ran; {@code away} as advice, 0 for none. */
+    /**
+     * Gives the final answer that the exchange is rejected, which promises that it never took effect.
+     *
+     * @param retryAfter the retry-after delay, 0 for none
+     * @param noRetry whether the caller is asked not to retry at another server either
+     */
     void reject(Exchange ex, long retryAfter, boolean noRetry);
 
-    /** Final answer: error, without a promise. */
+    /** Gives the final answer that the exchange failed; it may have taken effect. */
     void terminate(Exchange ex);
 
-    /** Takes running work off its core; no answer in itself. */
+    /** Takes a run off its core; gives no answer. */
     void interrupt(Exchange ex);
 
-    /** Makes the call that the exchange waits for; given up at {@code until}. */
+    /** Makes the call that the run waits for; it times out at {@code deadline}. */
     void call(Exchange ex, long deadline);
 
-    /** Lets the exchange go on without its call. */
+    /** Resumes the run without its call. */
     void skipCall(Exchange ex);
 
-    /** Answers a repeat from the exchange it repeats. */
+    /** Answers a repeat with the result of its original. */
     void replay(Exchange ex);
 
-    /** Remembers a deduplicated exchange for {@code span} from now. */
+    /** Stores the key of a deduplicated exchange for {@code ttl} from now. */
     void storeDedupKey(Exchange ex, long ttl);
 
-    /** Forgets it before its time. */
+    /** Drops the key of a deduplicated exchange before its time. */
     void dropDedupKey(Exchange ex);
 
-    /** What health checks hear from now on. */
+    /** Sets the answer to health checks. */
     void setHealth(boolean healthy);
 
-    /** The free value that goes out with every answer. */
+    /** Sets the load hint that is sent with every answer. */
     void publishLoadHint(double hint);
 
-    /** Connections idle for longer than this are closed. */
+    /** Sets the idle time after which connections are closed. */
     void setIdleTime(long idleTime);
 
-    /** Asks for one {@link OverloadController#onTick} that long from now. */
+    /** Requests one {@link OverloadController#onTick} after {@code delay}. */
     void scheduleTick(long delay);
 }
--- a/instance/src/main/java/vetchrill/control/OverloadController.java
+++ b/instance/src/main/java/vetchrill/control/OverloadController.java
@@ -11,78 +11,127 @@
 import vetchrill.control.Exchange.Stage;
 
 /**
- * All decisions of one instance. The owner reports what happened through {@link #onArrival}, {@link #onRunEnded},
- * {@link #onCallRequested}, {@link #onCallEnded}, {@link #onCallerDisconnected}, {@link #startDrain} and {@link
- * #onTick}, which only
- * note it, and then calls {@link #next} until it returns false; each call does at most one thing through
- * {@link Host}, the whole interface. Times are tenths of a millisecond on the owner's clock. One timer, asked
- * for by {@link Host#scheduleTick} and answered by {@link #onTick}, drives all that is periodic.
+ * Makes all overload decisions of one instance: which exchanges to start, reject, interrupt or replay, when to make
+ * calls to a dependency, and what to report to callers and health checks.
+ *
+ * <p>The owner reports events through {@link #onArrival}, {@link #onRunEnded}, {@link #onCallRequested},
+ * {@link #onCallEnded}, {@link #onCallerDisconnected}, {@link #startDrain}, {@link #updateLease} and {@link #onTick},
+ * which only record them. It then calls {@link #next} until that returns false; each call takes at most one action
+ * through {@link Host}, the only outgoing interface. A single timer, requested by {@link Host#scheduleTick} and
+ * answered by {@link #onTick}, drives all periodic work.
+ *
+ * <p>All times and durations are tenths of a millisecond on the owner's clock. Not thread-safe.
  */
 public final class OverloadController {
-    /** Between two looks at the gauges, and so the coarseness of every duty that is bound to a time. */
+    /** Interval between two samples of the gauges, and so the precision of every action that is bound to a time. */
     private static final long TICK_INTERVAL_TENTHS_MS = 1000;
-    /** Duties are done this much ahead of their time: two periods, against a late timer. */
+    /** Deadlines are served this early; two ticks allow for a late timer. */
     private static final long DEADLINE_MARGIN_TENTHS_MS = 2 * TICK_INTERVAL_TENTHS_MS;
-    /** An answer needs this long to get to the client. */
+    /** Time for an answer to reach the client. */
     private static final long ANSWER_DELIVERY_TENTHS_MS = 100;
-    /** The design's watermark: part of the memory up to which held exchanges start. */
+
+    /** Share of the memory up to which pending exchanges are started; set by the service design. */
     private static final double MEMORY_WATERMARK_RATIO = 0.85;
-    /** Part of the memory past which the hold itself gives way; the rest is for what is read in one tick. */
+    /** Share of the memory past which pending exchanges are shed; the rest is for what is read within one tick. */
     private static final double PENDING_MEMORY_LIMIT_RATIO = 0.92;
-    /** Running and at calls for each core, where returning calls can be taken off the cores again. */
-    private static final int MAX_RUNS_AND_CALLS_PER_CORE = 12;
-    /** Part of the SLO time spent in the hold at most: waits are guessed, and the next server may be free. */
+
+    /** Longest time in the pending queue: wait estimates are inexact, and another server may be free. */
     private static final double MAX_PENDING_SLO_RATIO = 0.6;
-    /** The same where the callers are servers that have a hold of their own and can often do without. */
+    /** Shorter on a backend tier: the callers have pending queues of their own and can often skip the call. */
     private static final double BACKEND_MAX_PENDING_SLO_RATIO = 0.15;
-    /** Part of the survivable crowd that is used. */
-    private static final double SUSTAINABLE_RUNS_USED_RATIO = 0.8;
-    /** The design's cpu share: under it the running bound grows, over it idle connections are cut. */
+
+    /** Share of the cpu below which the run limit may grow and above which idle connections are closed sooner. */
     private static final double CPU_BUSY_RATIO = 0.9;
-    /** Wanting a core, for each core, past which more running can't complete more. */
+    /** Runnable threads per core past which more runs do not raise the throughput. */
     private static final double SATURATED_RUNNABLE_PER_CORE = 1.3;
-    /** Connections for each caller told at start past which idle ones are cut. */
+    /** Weight of a new sample in the average number of runnable threads. */
+    private static final double RUNNABLE_SMOOTHING_RATIO = 0.3;
+    /** Share of the sustainable runs that is used. */
+    private static final double SUSTAINABLE_RUNS_USED_RATIO = 0.8;
+    /** Limit on running exchanges and those at calls, where runs that resume after a call can be preempted. */
+    private static final int MAX_RUNS_AND_CALLS_PER_CORE = 12;
+
+    /** An average read delay above the shortest SLO time divided by this lowers the run limit. */
+    private static final double READ_DELAY_LIMIT_SLO_DIVISOR = 2;
+    /** The read delay does not lower the run limit below this. */
+    private static final double MIN_RUNS_PER_CORE = 0.5;
+    /** Weight of a new arrival in the average read delay. */
+    private static final double READ_DELAY_SMOOTHING_RATIO = 0.2;
+    /** Applied to the average read delay at each tick: without arrivals no sample would ever lower it. */
+    private static final double READ_DELAY_DECAY_RATIO = 0.98;
+
+    /** More open connections for each configured caller than this make idle ones close sooner. */
     private static final int MAX_CONNECTIONS_PER_CALLER = 8;
-    /** The same by what could be out here at once, where callers are more than this server has use for. */
+    /** The same, by what the cores can have open at once: the limit where callers are very many. */
     private static final int MAX_CONNECTIONS_PER_CORE = 12;
-    /** Shortest idle time, and the steps in which it returns to that of the callers. */
     private static final long MIN_IDLE_TIME_TENTHS_MS = 100;
+    /** Ticks in which the idle time returns from zero to that of the callers. */
     private static final int IDLE_TIME_RECOVERY_TICKS = 50;
-    private static final double MAX_TOKENS = 1000;
-    /** It hangs if no run got anywhere for this long and so many usual runs: a few may well all be long. */
+
+    /** Runs are not stuck before this long without progress. */
     private static final long MIN_STUCK_TENTHS_MS = 5000;
-    private static final double STUCK_RUN_TIMES_RATIO = 2;
+    /** Runs are stuck after this many usual run times without progress, and more where few are running. */
+    private static final double STUCK_RUN_TIME_RATIO = 2;
+    /** Added to the above, divided by the number of runs: a few runs may well all be long ones. */
     private static final double STUCK_SINGLE_RUN_EXTRA_RATIO = 10;
+    /** Weight of the assumed run time beside the measured ones, in runs. */
     private static final int ASSUMED_RUN_COUNT = 8;
-    /** Bad health lasts no longer; so long passes before the next time, lest a fleet go dark together. */
+    /** The run time assumed before any is measured is the SLO time divided by this. */
+    private static final double ASSUMED_RUN_SLO_DIVISOR = 6.0;
+
     private static final long MAX_UNHEALTHY_TENTHS_MS = 50_000;
+    /** Shortest time between two unhealthy periods, so that a fleet does not become unhealthy as a whole. */
     private static final long MIN_HEALTHY_TENTHS_MS = 12_500;
-    /** Arrivals this many times this server's part of all told shares: others are full as well. */
+    /** Arrivals above this multiple of this server's part of all allowances: the other servers are full as well. */
     private static final double HIGH_ARRIVALS_RATIO = 1.3;
-    /** Completions for each arrival under which a server that reads too late might as well be gone. */
+    /** With fewer completions per arrival, a server that reads too late is of no more use than a dead one. */
     private static final double MIN_COMPLETION_RATIO = 0.1;
-    /** Cores this idle in bad health have caught up: staying away longer only crowds the others. */
+    /** Below this cpu usage an unhealthy server has caught up; staying out longer only overloads the others. */
     private static final double RECOVERED_CPU_RATIO = 0.6;
-    /** More failed runs than this, and than completed ones, of late: this server fails what it runs. */
+    /** Runs are failing when more than this many, and more than have completed, have failed recently. */
     private static final double FAILING_MIN_FAILED_RUNS = 3;
+    /** Applied to the counts of completed and failed runs at each tick. */
     private static final double RUN_COUNT_DECAY_RATIO = 0.97;
-    /** The wait unread fades at each look: a server that gets nothing any more hears nothing better. */
-    private static final double READ_DELAY_DECAY_RATIO = 0.98;
-    /** Waiting unread for a half of the shortest SLO time lowers the bound, down to so many for each core. */
-    private static final double READ_DELAY_LIMIT_SLO_DIVISOR = 2;
-    private static final double MIN_RUNS_PER_CORE = 0.5;
-    /** Reading, in runs, that a denied exchange may cost the servers it goes on to, on average. */
+
+    /** The circuit breaker for calls opens above this many recent failures. */
+    private static final double CIRCUIT_MIN_FAILED_CALLS = 4;
+    /** The circuit breaker for calls opens above this many failures for each success. */
+    private static final double CIRCUIT_FAILURE_RATIO = 2;
+    /** An open circuit breaker still lets through one in this many attempts. */
+    private static final int CIRCUIT_PROBE_ONE_IN = 8;
+
+    /** Quantile of measured over declared core time by which an exchange's own core time is predicted. */
+    private static final double DECLARED_TIME_QUANTILE_RATIO = 0.25;
+    /** Measured core time as a percentage of the declared one, before any is measured. */
+    private static final double ASSUMED_PERCENT_OF_DECLARED = 150;
+
+    /** Average cost of reading a rejected exchange at the next servers, in runs, at which retries are forbidden. */
     private static final double MAX_RETRY_READ_COST_RUN_RATIO = 0.5;
-    /** Part of further tries among as many arrivals as this fades over, at which all servers must be full. */
+    /** Quantile of the read delay that stands for the cost of reading. */
+    private static final double READ_COST_QUANTILE_RATIO = 0.25;
+    /** Arrivals above the allowance raise the probability to forbid a retry, up to this multiple of the allowance. */
+    private static final double MAX_ARRIVAL_INCREASE_RATIO = 2;
+    private static final double ARRIVAL_INCREASE_EXPONENT = 4;
+    /** Share of marked retries among recent arrivals at which all servers must be full. */
     private static final double ALL_FULL_RETRY_RATIO = 0.4;
+    /** Weight of a new arrival in the share of retries. */
     private static final double RETRY_SMOOTHING_RATIO = 0.05;
-    /** Part of the shortest SLO time in which a full hold turns over: to be away for longer idles cores. */
+    /** A full pending queue turns over in the shortest SLO time divided by this; a longer delay idles cores. */
     private static final int PENDING_TURNOVER_SLO_DIVISOR = 4;
-    /** Steps of the free value at each look; a least rank past the top leaves the dearest ranks alone. */
+
+    /** Token hint that limits no caller. */
+    private static final double MAX_TOKENS = 1000;
+    /** Growth of the token hint at each tick without shedding. */
     private static final double TOKEN_GROWTH_RATIO = 1.05;
+    /** Rise of the minimum-rank hint at each tick with shedding. */
     private static final double MIN_RANK_STEP_UP = 0.02;
+    /** Fall of the minimum-rank hint at each tick without shedding. */
     private static final double MIN_RANK_STEP_DOWN = 0.01;
+    /** A higher minimum rank would leave only the exchanges of the highest ranks. */
     private static final double MAX_MIN_RANK = 0.5;
+    /** A load hint is published when it has changed by more than this, plus the ratio below of its last value. */
+    private static final double MIN_LOAD_HINT_CHANGE = 0.03;
+    private static final double LOAD_HINT_CHANGE_RATIO = 0.05;
 
     private static final Comparator<Exchange> OLDEST_FIRST = Comparator.comparingLong(ex -> ex.arrivedAt);
 
@@ -93,12 +142,16 @@
 
     private final List<Exchange> pending = new ArrayList<>();
     private final List<Exchange> running = new ArrayList<>();
+    /** Exchanges whose run waits for a call, before and while it is made. */
     private final List<Exchange> atCalls = new ArrayList<>();
     private final List<Exchange> replaying = new ArrayList<>();
-    /** The hold in its two orders, good until something happens: a crowd outlasts sorting for each denial. */
+    /**
+     * The pending queue sorted by age and by priority, cached until the next event: after a burst of arrivals, sorting
+     * again for each rejection would block the decisions for too long.
+     */
     private final List<Exchange> pendingByAge = new ArrayList<>();
     private final List<Exchange> pendingByPriority = new ArrayList<>();
-    /** The one of them in which it will be run. */
+    /** The one of the two in whose order exchanges are started. */
     private List<Exchange> runOrder = pendingByAge;
     private final ArrayDeque<Exchange> toDeduplicate = new ArrayDeque<>();
     private final ArrayDeque<Exchange> keysToDrop = new ArrayDeque<>();
@@ -109,10 +162,12 @@
     private double cpuUsage;
     private double averageRunnable;
     private double openConnections;
+    /** How many exchanges may run at a time; changes by one a tick. */
     private double runLimit;
     private boolean tickPending = true;
     private boolean deadlineCheckPending;
     private boolean shedCheckPending;
+    /** 1 for healthy, 0 for unhealthy, -1 before the first report. */
     private int reportedHealth = -1;
     private boolean draining;
     private long stopAt;
@@ -123,36 +178,44 @@
 
     private long idleTime;
     private long reportedIdleTime;
+    /** Counts that decay at each tick: under steady load, roughly the number in a second. */
     private final double[] arrivalRateByCustomer;
     private double arrivalRate;
-    private double retryRatio;
     private double completionRate;
+    /** Share of retries among recent arrivals. */
+    private double retryRatio;
+    /** This server's part of the allowances of all customers, in exchanges a second. */
     private final double allowancePerServer;
+    /** When each abandoned call is expected to end at the shared dependency. */
     private final ArrayDeque<Long> abandonedCallsEndAt = new ArrayDeque<>();
     private int callsInFlight;
     private double averageCallsInFlight;
     private double callSuccesses;
     private double callFailures;
     private boolean shedSinceTick;
+    /** Load hint for callers that send nothing below a minimum rank. */
     private double minRank;
     private long lastTickAt;
-    /** When a run last got anywhere, or the first of them began. */
+    /** When a run last ended or asked for a call, or the first of the present runs started. */
     private long lastProgressAt;
     private boolean runsStuck;
     private boolean runsFailing;
     private double runSuccesses;
     private double runFailures;
     private final long shortestSloTime;
+    /** Average time for which exchanges have waited before they were read. */
     private double averageReadDelay;
     private long unhealthyUntil = Long.MIN_VALUE;
+    /** Load hint for callers that limit what they have open here. */
     private double tokens = MAX_TOKENS;
     private double reportedLoadHint;
     private final Histogram callTime = new Histogram();
     private final Histogram readDelay = new Histogram();
     private final Histogram coreTime = new Histogram();
-    /** Measured core time in hundredths of the time that the exchange was said to need. */
+    /** Measured core time as a percentage of what the exchange declared. */
     private final Histogram coreTimePercentOfDeclared = new Histogram();
 
+    /** {@code seed} makes all random choices reproducible; warm-up is counted from {@code now}. */
     public OverloadController(Deployment deployment, long seed, long now) {
         this.deployment = deployment;
         this.now = now;
@@ -168,8 +231,9 @@
         shortestSloTime = deployment.groups.stream().mapToLong(group -> group.sloTime).min().orElse(Long.MAX_VALUE);
     }
 
-    // What happened: noted here, decided on below.
+    // Events. They are only recorded here; decisions are made in next().
 
+    /** An exchange was read. Its caller has set the public fields. */
     public void onArrival(Exchange ex, long now) {
         markChanged(now);
         EndpointGroup group = ex.group;
@@ -182,18 +246,23 @@
         pending.add(ex);
         toDeduplicate.add(ex);
         memoryUsedKb += ex.sizeKb;
-        // A repeat that comes just before the stop is not held, and the next look may be past it.
-        deadlineCheckPending |= ex.deadline <= now + DEADLINE_MARGIN_TENTHS_MS || draining && stopAt <= now
-                + DEADLINE_MARGIN_TENTHS_MS;
+        // A repeat that arrives just before the stop does not stay pending, and the next tick may be too late for it.
+        deadlineCheckPending |= ex.deadline <= now + DEADLINE_MARGIN_TENTHS_MS
+                || draining && stopAt <= now + DEADLINE_MARGIN_TENTHS_MS;
         arrivalRate++;
         retryRatio += RETRY_SMOOTHING_RATIO * ((ex.retry ? 1 : 0) - retryRatio);
         readDelay.add(now - ex.arrivedAt);
-        averageReadDelay += 0.2 * (now - ex.arrivedAt - averageReadDelay);
+        averageReadDelay += READ_DELAY_SMOOTHING_RATIO * (now - ex.arrivedAt - averageReadDelay);
         if (ex.customer < arrivalRateByCustomer.length) {
             arrivalRateByCustomer[ex.customer]++;
         }
     }
 
+    /**
+     * A run or a replay ended. A run that was preempted before it was answered becomes pending again.
+     *
+     * @param duration from the start of the run, calls included
+     */
     public void onRunEnded(Exchange ex, Outcome outcome, long duration, long now) {
         markChanged(now);
         lastProgressAt = now;
@@ -223,6 +292,7 @@
         }
     }
 
+    /** A run has released its core and waits for a call. */
     public void onCallRequested(Exchange ex, long now) {
         markChanged(now);
         lastProgressAt = now;
@@ -236,6 +306,7 @@
         ex.nextCallAt = now;
     }
 
+    /** A call made by {@link Host#call} ended; a failed one may be retried or skipped. */
     public void onCallEnded(Exchange ex, Outcome outcome, long duration, long now) {
         markChanged(now);
         endCallInFlight(outcome == Outcome.TIMED_OUT);
@@ -252,6 +323,7 @@
         }
     }
 
+    /** The caller no longer waits for its answer; only a repeatable run is stopped for that. */
     public void onCallerDisconnected(Exchange ex, long now) {
         markChanged(now);
         ex.answered = true;
@@ -262,6 +334,10 @@
         }
     }
 
+    /**
+     * The process stops at {@code stopAt}: everything is answered before that, exchanges that arrive after the drain
+     * grace are not started, and health is reported as bad.
+     */
     public void startDrain(long stopAt, long now) {
         markChanged(now);
         this.stopAt = stopAt;
@@ -271,9 +347,9 @@
     }
 
     /**
-     * Agreed with other instances: nothing of a version under the floor is begun any more, and nothing at all
-     * from {@code until} on, as a higher floor may be in force by then that was not heard of. Without such a
-     * word all goes on.
+     * Updates the lease granted by the other instances. Nothing that arrived under a version below {@code minVersion}
+     * is started any more, and nothing at all from {@code expiresAt} on: a higher minimum version that has not been
+     * received here may be in force by then. Without any call of this method nothing is restricted.
      */
     public void updateLease(long activeVersion, long minVersion, long expiresAt, long now) {
         markChanged(now);
@@ -282,17 +358,24 @@
         leaseExpiresAt = expiresAt;
     }
 
+    /**
+     * Samples the gauges; the answer to {@link Host#scheduleTick}.
+     *
+     * @param cpuUsage from 0 to 1
+     * @param runnable threads that run or wait for a core
+     */
     public void onTick(double cpuUsage, double runnable, double openConnections, long now) {
         markChanged(now);
         this.cpuUsage = cpuUsage;
-        this.averageRunnable += (runnable - this.averageRunnable) * 0.3;
+        averageRunnable += (runnable - averageRunnable) * RUNNABLE_SMOOTHING_RATIO;
         this.openConnections = openConnections;
-        // After a pause of the whole process the timer is late, and runs had no chance to get anywhere.
+        // After a pause of the whole process the timer is late, and runs had no chance to make progress.
         lastProgressAt += Math.max(0, now - lastTickAt - 2 * TICK_INTERVAL_TENTHS_MS);
         lastTickAt = now;
         tickPending = true;
     }
 
+    /** Starts an event: what was decided or cached before may no longer hold. */
     private void markChanged(long now) {
         this.now = now;
         shedCheckPending = true;
@@ -314,7 +397,10 @@
         running.add(ex);
     }
 
-    /** Where no dependency is shared nothing would ever take the lingering ones off again. */
+    /**
+     * An abandoned call still loads a shared dependency for a while. Without one they are not counted, as only
+     * {@link #callQuotaLeft} removes them again.
+     */
     private void endCallInFlight(boolean abandoned) {
         callsInFlight--;
         if (abandoned && deployment.sharedDependency) {
@@ -328,6 +414,7 @@
         }
     }
 
+    /** Frees the memory and the place of an exchange; its key is dropped too if it never ran. */
     private void finish(Exchange ex) {
         if (ex.stage != Stage.FINISHED) {
             boolean runMemoryInUse = ex.paused || ex.stage != Stage.PENDING && ex.stage != Stage.REPLAYING;
@@ -343,55 +430,58 @@
         }
     }
 
-    // What to do about it.
+    // Decisions.
 
-    /** Does the next thing that is due, if any, through the host; false when there is nothing left to do. */
+    /** Takes the next action that is due, if any, through the host; returns false when nothing is left to do. */
     public boolean next(Host host) {
         if (tickPending) {
             tickPending = false;
             deadlineCheckPending = true;
-            updateLimits();
+            updateLimitsAndHealth();
             host.scheduleTick(TICK_INTERVAL_TENTHS_MS);
             return true;
         }
         return deduplicateArrivals(host) || dropUnusedKeys(host) || answerBeforeDeadline(host)
-                || interruptAbandonedRuns(host)
-                || preemptExcessRuns(host) || advanceCalls(host) || shedPending(host) || startNextRun(host)
-                || reportState(host);
+                || interruptAbandonedRuns(host) || preemptExcessRuns(host) || advanceCalls(host)
+                || shedPending(host) || startNextRun(host) || reportState(host);
     }
 
-    private void updateLimits() {
-        // The design's bound: up while cores idle although work is held, down when runs only slow each other.
-        // Where something else takes cores, cpu alone never gets busy: runs that already wait for one say so.
-        boolean coresIdle = cpuUsage < CPU_BUSY_RATIO && averageRunnable < SATURATED_RUNNABLE_PER_CORE
-                * deployment.cores;
+    /** Recomputes at each tick the limits, the health, the load hints and the averages that they follow from. */
+    private void updateLimitsAndHealth() {
+        // As in the service design, the run limit rises while cores are idle although work is pending, and falls when
+        // runs only slow each other down. Where another process takes cores, the cpu usage alone never reaches the
+        // busy mark; the number of runnable threads shows it.
+        boolean coresIdle = cpuUsage < CPU_BUSY_RATIO
+                && averageRunnable < SATURATED_RUNNABLE_PER_CORE * deployment.cores;
         if (coresIdle && !pending.isEmpty() && running.size() >= (int) runLimit) {
             runLimit++;
         } else if (averageRunnable > SATURATED_RUNNABLE_PER_CORE * deployment.cores + 1
                 && runLimit > deployment.cores) {
             runLimit--;
         }
-        // Runs and reading share the cores: once exchanges wait long unread, callers time out and try again,
-        // which ends in a server that only reads. Fewer runs let it deny in time.
+        // Runs and reading share the cores. Once exchanges wait long before they are read, callers time out and retry,
+        // until the server does nothing but read. With fewer runs it can reject in time.
         if (averageReadDelay > shortestSloTime / READ_DELAY_LIMIT_SLO_DIVISOR) {
             runLimit = Math.max(MIN_RUNS_PER_CORE * deployment.cores, runLimit - 1);
-        } else if (runLimit < deployment.cores && averageReadDelay < shortestSloTime / READ_DELAY_LIMIT_SLO_DIVISOR
-                / 2) {
+        } else if (runLimit < deployment.cores
+                && averageReadDelay < shortestSloTime / READ_DELAY_LIMIT_SLO_DIVISOR / 2) {
             runLimit++;
         }
         runLimit = Math.min(runLimit, Math.max(1, maxSustainableRuns()));
-        // A server that has seen few runs may have seen short ones only.
-        double usualRunTime = (coreTime.mean(0) * coreTime.count() + shortestSloTime / 6.0 * ASSUMED_RUN_COUNT)
+        // An assumed run time is mixed in, as a server that has seen few runs may have seen only short ones.
+        double usualRunTime = (coreTime.mean(0) * coreTime.count()
+                + shortestSloTime / ASSUMED_RUN_SLO_DIVISOR * ASSUMED_RUN_COUNT)
                 / (coreTime.count() + ASSUMED_RUN_COUNT);
-        runsStuck = !running.isEmpty() && now - lastProgressAt
-                > Math.max(MIN_STUCK_TENTHS_MS, (STUCK_RUN_TIMES_RATIO + STUCK_SINGLE_RUN_EXTRA_RATIO / running.size())
-                * usualRunTime);
-        // What is read is already too late, so that no denial reaches its caller in time. Either no more than
-        // usual is read, and only this machine is slow; or next to nothing is completed, and none is lost.
-        boolean readingTooLate = averageReadDelay > shortestSloTime * warmUpRatio()
+        runsStuck = !running.isEmpty() && now - lastProgressAt > Math.max(MIN_STUCK_TENTHS_MS,
+                (STUCK_RUN_TIME_RATIO + STUCK_SINGLE_RUN_EXTRA_RATIO / running.size()) * usualRunTime);
+        // Exchanges are already late when they are read, so that no rejection reaches its caller in time. That makes
+        // the server unhealthy in two cases: the arrivals are as usual, so that only this machine is slow; or almost
+        // nothing completes, so that nothing is lost without it.
+        boolean readingTooLate = averageReadDelay > shortestSloTime * coreSpeedRatio()
                 && (arrivalRate < HIGH_ARRIVALS_RATIO * allowancePerServer
                 || completionRate < MIN_COMPLETION_RATIO * arrivalRate);
-        // Runs that fail at once make room for more: such a server would draw what others could complete.
+        // Runs that fail at once free their slots at once: such a server would attract exchanges that others could
+        // complete.
         runsFailing = runFailures > FAILING_MIN_FAILED_RUNS && runFailures > runSuccesses;
         if ((runsStuck || readingTooLate || runsFailing) && now >= unhealthyUntil + MIN_HEALTHY_TENTHS_MS) {
             unhealthyUntil = now + MAX_UNHEALTHY_TENTHS_MS;
@@ -403,16 +493,17 @@
         boolean closeIdleSooner = openConnections > usefulConnections || cpuUsage > CPU_BUSY_RATIO;
         idleTime = closeIdleSooner ? Math.max(MIN_IDLE_TIME_TENTHS_MS, idleTime / 2)
                 : Math.min(deployment.callerIdleTime, idleTime + deployment.callerIdleTime / IDLE_TIME_RECOVERY_TICKS);
-        // Callers that heed a least rank send nothing below it: it rises while work is denied and sinks.
+        // Callers that follow a minimum rank send nothing below it: it rises while work is shed, and else falls.
         minRank = shedSinceTick ? Math.min(MAX_MIN_RANK, minRank + MIN_RANK_STEP_UP)
                 : Math.max(0, minRank - MIN_RANK_STEP_DOWN);
-        // What is out here when work has to be denied is all that callers may have here; it grows back.
+        // What is open here when work has to be shed is all that the callers may have open here; it grows back.
         double openExchanges = pending.size() + running.size() + atCalls.size();
         tokens = shedSinceTick ? Math.max(1, Math.min(tokens, openExchanges / deployment.callerCount))
                 : Math.min(MAX_TOKENS, tokens * TOKEN_GROWTH_RATIO);
         shedSinceTick = false;
         averageCallsInFlight += (callsInFlight + abandonedCallsEndAt.size() - averageCallsInFlight)
                 * TICK_INTERVAL_TENTHS_MS / Math.max(TICK_INTERVAL_TENTHS_MS, deployment.callQuotaWindow);
+        // At ten ticks a second, a count that decays by this stays near the number of events in a second.
         double decayRatio = 0.9;
         arrivalRate *= decayRatio;
         completionRate *= decayRatio;
@@ -429,8 +520,8 @@
         }
     }
 
-    /** Part of the full speed that the cores have reached at least. */
-    private double warmUpRatio() {
+    /** Share of their full speed that the cores have reached at least: below 1 while a cold instance warms up. */
+    private double coreSpeedRatio() {
         if (!deployment.startsCold || deployment.warmUpTime <= 0) {
             return 1;
         }
@@ -438,13 +529,13 @@
                 / deployment.warmUpTime);
     }
 
-    /** Runs that the cores survive: fewer while cold. */
+    /** Runs that the cores sustain at a time without a collapse of the throughput: fewer while cold. */
     private double maxSustainableRuns() {
-        return SUSTAINABLE_RUNS_USED_RATIO * (1 + (deployment.sustainableRunsPerCore - 1) * warmUpRatio())
+        return SUSTAINABLE_RUNS_USED_RATIO * (1 + (deployment.sustainableRunsPerCore - 1) * coreSpeedRatio())
                 * deployment.cores;
     }
 
-    /** No effect twice: a deduplicated exchange is known once read, its repeats are answered from it. */
+    /** Stores the key of each deduplicated exchange as soon as it is read, and answers its repeats from it. */
     private boolean deduplicateArrivals(Host host) {
         while (!toDeduplicate.isEmpty()) {
             Exchange ex = toDeduplicate.poll();
@@ -471,7 +562,10 @@
         return false;
     }
 
-    /** What was denied before it ran leaves no trace, or its repeat would be answered with its failure. */
+    /**
+     * Drops the keys of exchanges that were rejected before they ran: a repeat would otherwise be answered with the
+     * failure of the original.
+     */
     private boolean dropUnusedKeys(Host host) {
         while (!keysToDrop.isEmpty()) {
             Exchange ex = keysToDrop.poll();
@@ -483,6 +577,7 @@
         return false;
     }
 
+    /** Returns whether the key was still stored. */
     private boolean releaseKeyMemory(Exchange ex) {
         boolean wasStored = ex.keyStored;
         ex.keyStored = false;
@@ -490,7 +585,7 @@
         return wasStored;
     }
 
-    /** Every exchange has its answer by its due time, and all of them before the stop. */
+    /** Answers every exchange before its deadline, and all of them before the stop. */
     private boolean answerBeforeDeadline(Host host) {
         if (!deadlineCheckPending) {
             return false;
@@ -508,11 +603,15 @@
         return false;
     }
 
-    /** A denial promises that it never ran; what may not be denied may not be begun afresh either. */
+    /**
+     * Whether the exchange may be rejected, which promises that it never took effect. One that may not be rejected may
+     * not be started from the beginning again either.
+     */
     private static boolean mayBeRejected(Exchange ex) {
         return !ex.everStarted || ex.group.effect == Effect.REPEATABLE;
     }
 
+    /** Gives the final answer without a result; a run goes on until the host can interrupt it. */
     private void abandon(Exchange ex, Host host) {
         ex.answered = true;
         if (ex.stage == Stage.PENDING && mayBeRejected(ex)) {
@@ -528,7 +627,7 @@
         host.terminate(ex);
     }
 
-    /** Work that nobody waits for gives its core back, where the host can stop it. */
+    /** Frees the cores from runs whose answer nobody waits for, where the host can interrupt them. */
     private boolean interruptAbandonedRuns(Host host) {
         while (!toInterrupt.isEmpty()) {
             Exchange ex = toInterrupt.poll();
@@ -541,8 +640,8 @@
     }
 
     /**
-     * Calls that come back together could crowd the cores past what they survive, whatever held them up:
-     * the latest begun go back to the hold. With DROP this costs their work.
+     * Moves the latest runs back to the pending queue when more are running than the cores sustain, which happens when
+     * many calls return together, whatever delayed them. With {@link Deployment.Preemption#DROP} their work is lost.
      */
     private boolean preemptExcessRuns(Host host) {
         if (deployment.preemption == Deployment.Preemption.NONE || running.size() <= maxSustainableRuns()) {
@@ -560,6 +659,7 @@
         return false;
     }
 
+    /** Makes, skips or gives up the calls that runs wait for. */
     private boolean advanceCalls(Host host) {
         for (Exchange ex : atCalls) {
             if (ex.stage != Stage.AWAITING_CALL || ex.answered || ex.nextCallAt > now) {
@@ -568,7 +668,8 @@
             boolean callOptional = ex.group.benefitWithoutCall > 0;
             long latestCallEnd = ex.sloDeadline - ANSWER_DELIVERY_TENTHS_MS
                     - (callOptional ? (long) remainingCoreTime(ex) : 0);
-            boolean circuitOpen = callFailures > 4 && callFailures > 2 * callSuccesses && random.nextInt(8) > 0;
+            boolean circuitOpen = callFailures > CIRCUIT_MIN_FAILED_CALLS
+                    && callFailures > CIRCUIT_FAILURE_RATIO * callSuccesses && random.nextInt(CIRCUIT_PROBE_ONE_IN) > 0;
             if (callOptional && (ex.failedCallAttempts > 0 || circuitOpen || now + callTime.mean(0) > latestCallEnd
                     || !callQuotaLeft())) {
                 resumeAfterCall(ex);
@@ -576,8 +677,8 @@
                 return true;
             }
             boolean mayRetryCall = !ex.callMayHaveRun || ex.group.effect == Effect.REPEATABLE;
-            if (!mayRetryCall || latestCallEnd <= now && ex.group.lateBenefitShare == 0 || ex.deadline <= now
-                    + DEADLINE_MARGIN_TENTHS_MS) {
+            if (!mayRetryCall || latestCallEnd <= now && ex.group.lateBenefitShare == 0
+                    || ex.deadline <= now + DEADLINE_MARGIN_TENTHS_MS) {
                 abandon(ex, host);
                 return true;
             }
@@ -593,7 +694,10 @@
         return false;
     }
 
-    /** What all servers call together survives if each keeps to its own part, given-up calls included. */
+    /**
+     * Whether one more call keeps within this server's quota, abandoned calls included. A shared dependency withstands
+     * all servers together only if each keeps to its own quota.
+     */
     private boolean callQuotaLeft() {
         if (!deployment.sharedDependency) {
             return true;
@@ -605,23 +709,26 @@
         return inFlight + 1 <= deployment.callQuota || inFlight == 0 && averageCallsInFlight < deployment.callQuota / 2;
     }
 
+    /** Core time that the whole run is expected to take. */
     private double expectedCoreTime(Exchange ex) {
-        // Waits for disk do not grow with the work: a plain ratio, ruled by small ones, condemns huge ones.
+        // Waits for the disk do not grow with the declared time. A plain ratio of measured to declared time, dominated
+        // by small exchanges, would overestimate huge ones, so that they would always be rejected.
         if (ex.declaredCoreTime > 0) {
-            double coreTimePerDeclared = coreTimePercentOfDeclared.quantile(0.25, 150) / 100;
+            double coreTimePerDeclared = coreTimePercentOfDeclared.quantile(DECLARED_TIME_QUANTILE_RATIO,
+                    ASSUMED_PERCENT_OF_DECLARED) / 100;
             double fixedTime = ex.group.coreTime.mean(0) - coreTimePerDeclared * ex.group.declaredCoreTime.mean(0);
             return ex.declaredCoreTime * coreTimePerDeclared + Math.max(0, fixedTime);
         }
-        return ex.group.coreTime.mean(ex.group.sloTime / 6.0);
+        return ex.group.coreTime.mean(ex.group.sloTime / ASSUMED_RUN_SLO_DIVISOR);
     }
 
-    /** Core time that a run still needs; one past what was expected needs a quarter of that once more. */
+    /** Core time that a run still needs: at least a quarter of the expected time, even if it is overdue. */
     private double remainingCoreTime(Exchange ex) {
         double expected = expectedCoreTime(ex);
         return Math.max(expected / 4, expected - (now - ex.startedAt - ex.timeAtCalls));
     }
 
-    /** Benefit for the core time it takes; a customer beyond its share counts by the part that is within. */
+    /** Benefit per core time; the traffic of a customer beyond its share counts less on average. */
     private double priorityWeight(Exchange ex) {
         double benefit = ex.group.benefit;
         if (ex.customer < arrivalRateByCustomer.length && deployment.allowancePerSecond[ex.customer] > 0) {
@@ -635,7 +742,11 @@
         return deployment.benefitScalesWithWork ? benefit : benefit / expectedCoreTime(ex);
     }
 
-    /** Turns away, as early as it is known, what can't make its SLO time; and what the memory can't hold. */
+    /**
+     * Rejects exchanges that cannot be answered within their SLO time, as early as that is known, and those that the
+     * memory has no room for. The oldest run first while all can be answered in time; otherwise the order is by
+     * priority, and those that come too late in it are shed.
+     */
     private boolean shedPending(Host host) {
         if (!shedCheckPending) {
             return false;
@@ -670,6 +781,7 @@
         return true;
     }
 
+    /** Fills and sorts {@code sorted} from {@code source} if it is empty, and returns it. */
     private static List<Exchange> sortedOnce(List<Exchange> source, List<Exchange> sorted,
             Comparator<Exchange> comparator) {
         if (sorted.isEmpty()) {
@@ -680,23 +792,28 @@
     }
 
     /**
-     * Marked further tries are few while only this server is short. Unmarked, what roams must not cost more
-     * than it can bring: waits unread tell what reading costs, and traffic past the told that it brings less.
+     * Whether the caller of a rejected exchange is asked not to retry it at another server; random, with a probability
+     * that grows with the load of the fleet. Where callers mark retries, these are few as long as only this server is
+     * short. Where they don't, retries must not cost the other servers more than they can bring: the read delay shows
+     * what reading costs, and arrivals above the configured allowance show that retries bring less.
      */
     private boolean shouldForbidRetry() {
         double probability = retryRatio / ALL_FULL_RETRY_RATIO;
         if (!deployment.callersMarkRetries) {
-            double arrivalIncrease = Math.min(2, Math.max(1, arrivalRate / Math.max(1, allowancePerServer)));
-            probability = readDelay.quantile(0.25, 0) / coreTime.mean(Double.MAX_VALUE) / MAX_RETRY_READ_COST_RUN_RATIO
-                    * Math.pow(arrivalIncrease, 4);
+            double arrivalIncrease = Math.min(MAX_ARRIVAL_INCREASE_RATIO,
+                    Math.max(1, arrivalRate / Math.max(1, allowancePerServer)));
+            probability = readDelay.quantile(READ_COST_QUANTILE_RATIO, 0) / coreTime.mean(Double.MAX_VALUE)
+                    / MAX_RETRY_READ_COST_RUN_RATIO * Math.pow(arrivalIncrease, ARRIVAL_INCREASE_EXPONENT);
         }
         return random.nextDouble() < probability;
     }
 
+    /** Whether the lease or the minimum version keeps the exchange from being started. */
     private boolean notLeased(Exchange ex) {
         return ex.version < minVersion || now >= leaseExpiresAt;
     }
 
+    /** The first exchange in run order that cannot be answered in time or may not be started; null if there is none. */
     private Exchange firstToShed() {
         double coreTimeAhead = 0;
         for (Exchange ex : running) {
@@ -728,6 +845,7 @@
         return null;
     }
 
+    /** Starts the next pending exchange, if the limits on runs and memory allow it. */
     private boolean startNextRun(Host host) {
         boolean canPreempt = deployment.preemption != Deployment.Preemption.NONE;
         if (runOrder.isEmpty() || running.size() >= (int) runLimit
@@ -752,6 +870,7 @@
         return true;
     }
 
+    /** Reports health, load hint or idle time, whichever has changed. */
     private boolean reportState(Host host) {
         boolean withoutLease = activeVersion < minVersion || now >= leaseExpiresAt;
         int health = draining || withoutLease || deployment.discoveryFollowsHealth && now < unhealthyUntil ? 0 : 1;
@@ -761,8 +880,8 @@
             return true;
         }
         double loadHint = deployment.loadHint == Deployment.LoadHint.MIN_RANK ? minRank : tokens;
-        if (deployment.loadHint != Deployment.LoadHint.NONE && Math.abs(loadHint - reportedLoadHint) > 0.03 + 0.05
-                * reportedLoadHint) {
+        if (deployment.loadHint != Deployment.LoadHint.NONE && Math.abs(loadHint - reportedLoadHint)
+                > MIN_LOAD_HINT_CHANGE + LOAD_HINT_CHANGE_RATIO * reportedLoadHint) {
             reportedLoadHint = loadHint;
             host.publishLoadHint(loadHint);
             return true;
