--- a/instance/src/main/java/vetchrill/protocol/DeploymentReader.java
+++ b/instance/src/main/java/vetchrill/protocol/DeploymentReader.java
@@ -3,36 +3,43 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.TreeSet;
 import vetchrill.control.Deployment;
 import vetchrill.control.EndpointGroup;
 
-/** Decodes what a fresh instance is told, on the wire and on sockets alike. */
+/**
+ * Decodes the JSON settings of a new instance into a {@link Deployment}. The wire host and an instance on sockets use
+ * the same settings.
+ */
 public final class DeploymentReader {
     public static final ObjectMapper JSON = new ObjectMapper();
 
-    /** What another version may tell anew of a group. */
+    /** Settings of a group that a new version may change without a restart. */
     private static final List<String> RELOADABLE_GROUP_KEYS = List.of("aimMs", "aimStretch", "deadlineMs", "gain",
             "lateShare");
 
     public final Deployment deployment = new Deployment();
-    /** Where each gauge stands in a row of gauges; -1 where it is not sent. */
+    /** Index of each gauge in a row of gauges; -1 if the interpreter does not send it. */
     public final int cpuIndex;
     public final int runnableIndex;
     public final int connectionsIndex;
     public final int memoryIndex;
-    /** Names by which the door knows groups and customers, in the order of the deployment. */
+    /** Names of groups and customers as exchanges use them, in the order of the deployment. */
     public final List<String> groupNames = new ArrayList<>();
     public final List<String> customerNames = new ArrayList<>();
 
+    /** Decodes settings from JSON text; throws IllegalArgumentException if they are invalid. */
     public DeploymentReader(String options) {
         this(parse(options));
     }
 
+    /** Decodes parsed settings; throws IllegalArgumentException if they are invalid. */
     public DeploymentReader(JsonNode root) {
         if (root == null || !root.isObject()) {
-            throw new IllegalArgumentException("options are no JSON object");
+            throw new IllegalArgumentException("options are not a JSON object");
         }
         requireList(root, "customers");
         requireList(root.path("familyInfo"), "meters");
@@ -89,7 +96,7 @@
         memoryIndex = indexOf(meters, "mem_used");
     }
 
-    /** The groups as another version tells of them, with what was measured of them here. */
+    /** Returns copies of these groups, with their measurements, that have the settings of another version. */
     public List<EndpointGroup> reloadedGroups(DeploymentReader update) {
         List<EndpointGroup> reloaded = new ArrayList<>();
         for (int i = 0; i < deployment.groups.size(); i++) {
@@ -110,13 +117,13 @@
     }
 
     /**
-     * Null where an instance that runs by {@code own} settings could take {@code other} without a start, else what
-     * differs that it can't. Times, benefits and what being late costs may change; what the instance is, and its
-     * groups and customers by number, name and effect, may not.
+     * Returns null if an instance that runs with the settings {@code own} can switch to {@code other} without a
+     * restart, otherwise the reason why not. Times, benefits and the cost of lateness may change; the properties of
+     * the instance, and the number, names and effects of its groups and customers, may not.
      */
     public static String reloadObstacle(JsonNode own, JsonNode other) {
         if (other == null || !other.isObject()) {
-            return "settings are no JSON object";
+            return "settings are not a JSON object";
         }
         for (JsonNode group : other.path("categories")) {
             for (String key : RELOADABLE_GROUP_KEYS) {
@@ -132,7 +139,7 @@
         JsonNode otherFixed = other.deepCopy();
         for (JsonNode root : List.of(ownFixed, otherFixed)) {
             for (JsonNode group : root.path("categories")) {
-                if (group instanceof com.fasterxml.jackson.databind.node.ObjectNode groupObject) {
+                if (group instanceof ObjectNode groupObject) {
                     groupObject.remove(RELOADABLE_GROUP_KEYS);
                 }
             }
@@ -140,14 +147,14 @@
         if (ownFixed.equals(otherFixed)) {
             return null;
         }
-        var names = new java.util.TreeSet<String>();
+        var names = new TreeSet<String>();
         ownFixed.fieldNames().forEachRemaining(names::add);
         otherFixed.fieldNames().forEachRemaining(names::add);
         names.removeIf(name -> ownFixed.path(name).equals(otherFixed.path(name)));
-        return "only a start can change " + String.join(", ", names);
+        return "a restart is required to change " + String.join(", ", names);
     }
 
-    /** What stands in for a list by its size alone has no places to look at. */
+    /** Rejects an object in place of a list: it has a size, but no elements by index. */
     private static void requireList(JsonNode node, String key) {
         if (node.path(key).isObject()) {
             throw new IllegalArgumentException(key + " is no list");
@@ -185,11 +192,12 @@
             groups.add(group);
         }
         if (groups.isEmpty()) {
-            throw new IllegalArgumentException("options name no categories");
+            throw new IllegalArgumentException("options define no categories");
         }
         return groups;
     }
 
+    /** Reads a time in milliseconds and returns it in tenths of a millisecond. */
     private static long readTenthsMs(JsonNode node, String key, double defaultMs) {
         return Math.round(node.path(key).asDouble(defaultMs) * 10);
     }
--- a/instance/src/main/java/vetchrill/protocol/Fields.java
+++ b/instance/src/main/java/vetchrill/protocol/Fields.java
@@ -1,46 +1,58 @@
 package vetchrill.protocol;
 
 import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
+import java.util.List;
 
-/** The fields of one frame, read in place: names and values are slices of the buffer and live as long as it does. */
+/**
+ * The fields of one frame: a byte with their count, then for each a byte with the size of its name, the name, two bytes
+ * with the size of its value, and the value. They are parsed in place, so names and values are slices of the buffer and
+ * valid as long as its content.
+ */
 public final class Fields {
-    private final int[] nameFrom = new int[255];
-    private final int[] nameSize = new int[255];
-    private final int[] valueFrom = new int[255];
-    private final int[] valueSize = new int[255];
+    /** The count is one byte. */
+    private static final int MAX_FIELDS = 255;
+    /** More digits could overflow a long. */
+    private static final int MAX_WHOLE_DIGITS = 18;
+    private static final int MAX_NUMBER_CHARS = 32;
+
+    private final int[] nameFrom = new int[MAX_FIELDS];
+    private final int[] nameSize = new int[MAX_FIELDS];
+    private final int[] valueFrom = new int[MAX_FIELDS];
+    private final int[] valueSize = new int[MAX_FIELDS];
     private byte[] buf;
     private int count;
     private int bodyOffset;
 
-    /** Reads the fields that start at {@code from}; what is wrong with them, or null. */
+    /** Parses the fields at {@code from}; returns null, or an error message if they are malformed. */
     public String parse(byte[] buf, int from, int to) {
         this.buf = buf;
         count = 0;
         bodyOffset = to;
         if (from >= to) {
-            return "no fields";
+            return "missing field count";
         }
         int declaredCount = buf[from] & 0xff;
         int position = from + 1;
         for (int i = 0; i < declaredCount; i++) {
             if (position >= to) {
-                return "fields cut short";
+                return "truncated fields";
             }
             nameSize[i] = buf[position] & 0xff;
             nameFrom[i] = position + 1;
             position += 1 + nameSize[i];
             if (position + 2 > to) {
-                return "fields cut short";
+                return "truncated fields";
             }
             valueSize[i] = (buf[position] & 0xff) << 8 | buf[position + 1] & 0xff;
             valueFrom[i] = position + 2;
             position += 2 + valueSize[i];
             if (position > to) {
-                return "fields cut short";
+                return "truncated fields";
             }
             for (int j = 0; j < i; j++) {
                 if (sameBytes(nameFrom[i], nameSize[i], nameFrom[j], nameSize[j])) {
-                    return "a field given twice";
+                    return "duplicate field";
                 }
             }
             count = i + 1;
@@ -51,22 +63,22 @@
 
     private boolean sameBytes(int from, int size, int otherFrom, int otherSize) {
         return size == otherSize
-                && java.util.Arrays.equals(buf, from, from + size, buf, otherFrom, otherFrom + size);
+                && Arrays.equals(buf, from, from + size, buf, otherFrom, otherFrom + size);
     }
 
-    /** Where the fields end, and the body begins. */
+    /** The offset at which the fields end and the body begins. */
     public int bodyOffset() {
         return bodyOffset;
     }
 
-    /** The value of a field, or null where it is absent. */
+    /** Returns the value of a field, or null if it is absent. */
     public String text(String name) {
         int i = find(name);
         return i < 0 ? null : new String(buf, valueFrom[i], valueSize[i], StandardCharsets.UTF_8);
     }
 
-    /** The position in {@code names} of the value of a field; -1 where it is absent or none of them. */
-    public int indexIn(String name, java.util.List<String> candidates) {
+    /** Returns the index of a field's value in {@code candidates}; -1 if it is absent or none of them. */
+    public int indexIn(String name, List<String> candidates) {
         int i = find(name);
         if (i >= 0) {
             for (int candidate = 0; candidate < candidates.size(); candidate++) {
@@ -78,21 +90,21 @@
         return -1;
     }
 
-    /** Tells a slice to whoever asks. */
+    /** Computes a value from a slice of a buffer. */
     public interface SliceFunction {
         long apply(byte[] buf, int from, int to);
     }
 
-    /** What {@code slice} makes of the value of a field; 0 where it is absent. */
+    /** Returns the result of {@code function} for the value of a field; 0 if it is absent. */
     public long mapValue(String name, SliceFunction function) {
         int i = find(name);
         return i < 0 ? 0 : function.apply(buf, valueFrom[i], valueFrom[i] + valueSize[i]);
     }
 
-    /** A whole number of up to 18 digits; -1 where it is absent or no such number. */
+    /** Returns a field as a whole number of up to 18 digits; -1 if it is absent or not such a number. */
     public long wholeNumber(String name) {
         int i = find(name);
-        if (i < 0 || valueSize[i] == 0 || valueSize[i] > 18) {
+        if (i < 0 || valueSize[i] == 0 || valueSize[i] > MAX_WHOLE_DIGITS) {
             return -1;
         }
         long value = 0;
@@ -106,10 +118,10 @@
         return value;
     }
 
-    /** A number that is not below zero; NaN where it is absent or no such number. */
+    /** Returns a field as a non-negative finite number; NaN if it is absent or not such a number. */
     public double number(String name) {
         String text = text(name);
-        if (text == null || text.isEmpty() || text.length() > 32) {
+        if (text == null || text.isEmpty() || text.length() > MAX_NUMBER_CHARS) {
             return Double.NaN;
         }
         for (int at = 0; at < text.length(); at++) {
@@ -136,7 +148,7 @@
     }
 
     private boolean equalsText(int from, int size, String text) {
-        // Names told in the settings may hold more than ASCII; comparing bytes needs them as bytes only then.
+        // Names in the settings may contain non-ASCII characters; only then the slice is decoded to compare it.
         if (size == text.length()) {
             for (int i = 0; i < size; i++) {
                 if (buf[from + i] != text.charAt(i)) {
--- a/instance/src/main/java/vetchrill/protocol/FrameReader.java
+++ b/instance/src/main/java/vetchrill/protocol/FrameReader.java
@@ -3,26 +3,24 @@
 import vetchrill.transport.Connection;
 import vetchrill.transport.Limits;
 
-/** Splits what a client stub sends into frames. */
+/** Splits the input of a client stub into frames; {@link Frames} describes their format. */
 public final class FrameReader implements Connection.InputHandler {
-    /**
-     * Who takes the frames; the payload is a slice of the buffer, good for the call only. False where nothing more
-     * is to be read.
-     */
+    /** Receives the frames of one connection, on the reader's thread. */
     public interface Handler {
+        /** Handles a frame; its payload is a slice of the buffer, valid during the call. False stops reading. */
         boolean onFrame(int type, int stream, byte[] buf, int from, int to);
 
-        /** A frame whose length is allowed but of which no exchange has need; it is read past. */
+        /** Handles a frame that is longer than any exchange needs; its payload is skipped. False stops reading. */
         boolean onOversizedFrame(int type, int stream);
 
-        /** The frames can't be told apart any more. */
+        /** Called when the input is not a sequence of valid frames; reading stops. */
         void onMalformedInput(String reason);
 
-        /** Nothing more comes; {@code gone} where no answer would arrive either. */
+        /** Called once when reading ends; {@code disconnected} means that no answer can reach the stub either. */
         void onInputEnded(boolean disconnected);
     }
 
-    private static final int HEADER_BYTES = 9;
+    private static final int HEADER_BYTES = Frames.HEADER_BYTES;
 
     private final Limits limits;
     private final Handler handler;
@@ -41,32 +39,33 @@
             bytesToSkip -= skipped;
             return skipped;
         }
-        if (available < 4) {
+        if (available < Frames.LENGTH_BYTES) {
             return 0;
         }
         long length = Frames.readInt(buf, from) & 0xffffffffL;
-        if (length < 5 || length > limits.maxFrameLengthBytes) {
-            handler.onMalformedInput("a frame of length " + length);
+        if (length < Frames.MIN_LENGTH || length > limits.maxFrameLengthBytes) {
+            handler.onMalformedInput("invalid frame length " + length);
             return -1;
         }
         if (available < HEADER_BYTES) {
             return 0;
         }
-        int type = buf[from + 4] & 0xff;
-        int stream = Frames.readInt(buf, from + 5);
-        if (length > limits.maxBufferedFrameBytes - 4) {
-            bytesToSkip = (int) length - 5;
+        int type = buf[from + Frames.TYPE_OFFSET] & 0xff;
+        int stream = Frames.readInt(buf, from + Frames.STREAM_OFFSET);
+        if (length > limits.maxBufferedFrameBytes - Frames.LENGTH_BYTES) {
+            bytesToSkip = (int) length - Frames.MIN_LENGTH;
             return handler.onOversizedFrame(type, stream) ? HEADER_BYTES : -1;
         }
-        if (available < 4 + length) {
+        if (available < Frames.LENGTH_BYTES + length) {
             return 0;
         }
         if (type != Frames.EXCHANGE && type != Frames.HEALTH_CHECK) {
-            handler.onMalformedInput("a frame of type " + type);
+            handler.onMalformedInput("unexpected frame type " + type);
             return -1;
         }
-        boolean keepReading = handler.onFrame(type, stream, buf, from + HEADER_BYTES, from + 4 + (int) length);
-        return keepReading ? 4 + (int) length : -1;
+        boolean keepReading = handler.onFrame(type, stream, buf,
+                from + HEADER_BYTES, from + Frames.LENGTH_BYTES + (int) length);
+        return keepReading ? Frames.LENGTH_BYTES + (int) length : -1;
     }
 
     @Override
--- a/instance/src/main/java/vetchrill/protocol/Frames.java
+++ b/instance/src/main/java/vetchrill/protocol/Frames.java
@@ -2,18 +2,37 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Frames as client stubs and instances write them. */
+/**
+ * The frames between client stubs and instances. A frame is a length of four bytes, which counts the bytes after it, a
+ * type of one byte, a stream number of four bytes and the payload, all in network byte order. The payload of an answer
+ * is a byte with the outcome, the fields and the body.
+ *
+ * @see Fields
+ */
 public final class Frames {
     public static final int EXCHANGE = 2;
     public static final int ANSWER = 4;
     public static final int HEALTH_CHECK = 16;
     public static final int HEALTH_CHECK_ANSWER = 32;
+    /** Sent to a stub when the instance accepts nothing new on the connection. */
     public static final int GO_AWAY = 64;
 
+    /** Outcomes of an exchange; the first byte of an answer's payload. */
     public static final int COMPLETED = 79;
     public static final int DENIED = 66;
     public static final int TERMINATED = 69;
 
+    /** Size of the length, which does not count itself. */
+    static final int LENGTH_BYTES = 4;
+    static final int TYPE_OFFSET = LENGTH_BYTES;
+    static final int STREAM_OFFSET = TYPE_OFFSET + 1;
+    static final int HEADER_BYTES = STREAM_OFFSET + 4;
+    /** Length of a frame with an empty payload: its type and stream. */
+    static final int MIN_LENGTH = HEADER_BYTES - LENGTH_BYTES;
+    private static final int OUTCOME_OFFSET = HEADER_BYTES;
+    private static final int FIELD_COUNT_OFFSET = OUTCOME_OFFSET + 1;
+    private static final int FIELDS_OFFSET = FIELD_COUNT_OFFSET + 1;
+
     private static final byte[] BACKOFF_FIELD = "backoff".getBytes(StandardCharsets.US_ASCII);
     private static final byte[] FINAL_FIELD = "final".getBytes(StandardCharsets.US_ASCII);
     private static final byte[] NO_BYTES = new byte[0];
@@ -25,42 +44,48 @@
         return (buf[at] & 0xff) << 24 | (buf[at + 1] & 0xff) << 16 | (buf[at + 2] & 0xff) << 8 | buf[at + 3] & 0xff;
     }
 
-    /** The result is a slice; it is copied here, since the answer may wait for its peer to read. */
+    /** Answers with a result, which is copied from the slice because the answer may be queued until its peer reads. */
     public static byte[] completed(int stream, byte[] buf, int from, int to) {
         byte[] frame = newFrame(ANSWER, stream, 2 + to - from);
-        frame[9] = COMPLETED;
-        System.arraycopy(buf, from, frame, 11, to - from);
+        frame[OUTCOME_OFFSET] = COMPLETED;
+        System.arraycopy(buf, from, frame, FIELDS_OFFSET, to - from);
         return frame;
     }
 
-    /** For a frame made where its stream was not known yet. */
+    /** Sets the stream of a frame that was built before its stream was known. */
     public static void setStream(byte[] frame, int stream) {
-        writeInt(frame, 5, stream);
+        writeInt(frame, STREAM_OFFSET, stream);
     }
 
-    /** The same answer for another exchange; the one that it is made of may be on its way. */
+    /** Copies an answer for another exchange; the original may still be queued for sending. */
     public static byte[] copyForStream(byte[] frame, int stream) {
         byte[] copy = frame.clone();
         setStream(copy, stream);
         return copy;
     }
 
+    /** Answers an exchange that may have run, without a result. */
     public static byte[] terminated(int stream) {
         byte[] frame = newFrame(ANSWER, stream, 2);
-        frame[9] = TERMINATED;
+        frame[OUTCOME_OFFSET] = TERMINATED;
         return frame;
     }
 
-    /** {@code away} in milliseconds, 0 for no advice. */
+    /**
+     * Answers an exchange that was rejected before it ran.
+     *
+     * @param retryAfterMs retry-after delay for the stub, 0 for none
+     * @param finalDenial whether the stub must not retry
+     */
     public static byte[] denied(int stream, long retryAfterMs, boolean finalDenial) {
         byte[] delayText = retryAfterMs > 0 ? Long.toString(retryAfterMs).getBytes(StandardCharsets.US_ASCII)
                 : NO_BYTES;
         int payloadBytes = 2 + (retryAfterMs > 0 ? 3 + BACKOFF_FIELD.length + delayText.length : 0)
                 + (finalDenial ? 4 + FINAL_FIELD.length : 0);
         byte[] frame = newFrame(ANSWER, stream, payloadBytes);
-        frame[9] = DENIED;
-        frame[10] = (byte) ((retryAfterMs > 0 ? 1 : 0) + (finalDenial ? 1 : 0));
-        int at = 11;
+        frame[OUTCOME_OFFSET] = DENIED;
+        frame[FIELD_COUNT_OFFSET] = (byte) ((retryAfterMs > 0 ? 1 : 0) + (finalDenial ? 1 : 0));
+        int at = FIELDS_OFFSET;
         if (retryAfterMs > 0) {
             at = writeField(frame, at, BACKOFF_FIELD, delayText);
         }
@@ -70,12 +95,14 @@
         return frame;
     }
 
+    /** Answers a health check. */
     public static byte[] healthCheckAnswer(int stream, boolean healthy) {
         byte[] frame = newFrame(HEALTH_CHECK_ANSWER, stream, 2);
-        frame[9] = (byte) (healthy ? COMPLETED : TERMINATED);
+        frame[OUTCOME_OFFSET] = (byte) (healthy ? COMPLETED : TERMINATED);
         return frame;
     }
 
+    /** Announces that nothing new is accepted on the connection. */
     public static byte[] goAway() {
         return newFrame(GO_AWAY, 0, 0);
     }
@@ -91,10 +118,10 @@
     }
 
     private static byte[] newFrame(int type, int stream, int payloadBytes) {
-        byte[] frame = new byte[9 + payloadBytes];
-        writeInt(frame, 0, 5 + payloadBytes);
-        frame[4] = (byte) type;
-        writeInt(frame, 5, stream);
+        byte[] frame = new byte[HEADER_BYTES + payloadBytes];
+        writeInt(frame, 0, MIN_LENGTH + payloadBytes);
+        frame[TYPE_OFFSET] = (byte) type;
+        writeInt(frame, STREAM_OFFSET, stream);
         return frame;
     }
 
--- a/instance/src/main/java/vetchrill/protocol/HealthReportSink.java
+++ b/instance/src/main/java/vetchrill/protocol/HealthReportSink.java
@@ -3,11 +3,11 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 
-/** Where reports of health go. */
+/** Receives the health reports of this instance. */
 public interface HealthReportSink {
-    /** Reports, and returns the status of the answer. */
+    /** Sends a report and returns the HTTP status of the response. */
     int report(boolean healthy) throws IOException;
 
-    /** From any thread; the next report goes there. */
+    /** Sends the following reports to another address; may be called from any thread. */
     void moveTo(InetSocketAddress newAddress);
 }
--- a/instance/src/main/java/vetchrill/protocol/InterpreterLines.java
+++ b/instance/src/main/java/vetchrill/protocol/InterpreterLines.java
@@ -4,21 +4,29 @@
 import vetchrill.transport.Connection;
 import vetchrill.transport.Limits;
 
-/** The lines of the interpreter: its notices read, commands to it written. */
+/**
+ * The line protocol of the interpreter: parses its notices and builds the commands to it. A VALUE line is followed by a
+ * result of the length that it states, as an APPLY command is by the body of the exchange.
+ */
 public final class InterpreterLines implements Connection.InputHandler {
-    /** Who takes the notices; slices are good for the call only. */
+    /** Receives the notices of one link, on the reader's thread; times are in tenths of a millisecond. */
     public interface Handler {
+        /** Called for the greeting after a connect, with the interpreter's state and the time since its start. */
         void onBanner(String state, long sinceStart);
 
-        void onValue(long noticeNumber, String id, String outcome, long runTime, byte[] buf, int from, int to);
+        /** Called when a run has ended; its result is a slice of the buffer, valid during the call. */
+        void onValue(long noticeNumber, String id, String runStatus, long runDuration, byte[] buf, int from, int to);
 
+        /** Called with the gauges that a TOP command with this tag asked for. */
         void onGauges(String tag, double[] row);
 
+        /** Called when the interpreter rejects a command. */
         void onError(String text);
 
-        /** A numbered remark. */
+        /** Called for a numbered remark; only its number matters, which counts among the notices read. */
         void onTrace(long noticeNumber, String text);
 
+        /** Called once when the link is lost. */
         void onInputEnded(String reason);
     }
 
@@ -32,14 +40,17 @@
         this.handler = handler;
     }
 
+    /** The first command on a link; the interpreter resends the notices after {@code lastNoticeNumber}. */
     public static byte[] connect(long lastNoticeNumber) {
         return ("CONNECT " + lastNoticeNumber + "\r\n").getBytes(StandardCharsets.UTF_8);
     }
 
+    /** Requests the gauges. */
     public static byte[] top(String tag) {
         return ("TOP " + tag + "\r\n").getBytes(StandardCharsets.UTF_8);
     }
 
+    /** Requests a run of the exchange {@code id}. */
     public static byte[] apply(String id, String group, byte[] body) {
         byte[] line = ("APPLY " + id + " " + group + " " + body.length + "\r\n").getBytes(StandardCharsets.UTF_8);
         byte[] command = new byte[line.length + body.length + 2];
@@ -67,7 +78,7 @@
                 case "VALUE" -> {
                     int length = Integer.parseInt(words[5]);
                     if (length < 0 || length > limits.maxLineBytes / 2) {
-                        LOG.log(System.Logger.Level.ERROR, "the interpreter tells of a result of {0} bytes", length);
+                        LOG.log(System.Logger.Level.ERROR, "invalid result length from the interpreter: {0}", length);
                         return -1;
                     }
                     int valueEnd = end + 1 + length + 2;
@@ -88,10 +99,10 @@
                 case "BANNER" -> handler.onBanner(words[1], parseTenthsMs(words[2]));
                 case "ERROR" -> handler.onError(line);
                 case "TRACE" -> handler.onTrace(Long.parseLong(words[1]), line);
-                default -> LOG.log(System.Logger.Level.DEBUG, "skipped from the interpreter: {0}", line);
+                default -> LOG.log(System.Logger.Level.DEBUG, "unknown notice from the interpreter: {0}", line);
             }
         } catch (NumberFormatException | ArrayIndexOutOfBoundsException | NegativeArraySizeException e) {
-            LOG.log(System.Logger.Level.ERROR, "can''t be read from the interpreter: {0}", line);
+            LOG.log(System.Logger.Level.ERROR, "malformed notice from the interpreter: {0}", line);
             return -1;
         }
         return end + 1 - from;
@@ -102,6 +113,7 @@
         handler.onInputEnded(reason);
     }
 
+    /** Parses a time in milliseconds and returns it in tenths of a millisecond. */
     private static long parseTenthsMs(String millis) {
         return Math.round(Double.parseDouble(millis) * 10);
     }
--- a/instance/src/main/java/vetchrill/protocol/MembershipCall.java
+++ b/instance/src/main/java/vetchrill/protocol/MembershipCall.java
@@ -10,12 +10,13 @@
 import vetchrill.transport.Limits;
 import vetchrill.transport.Resources;
 
-/** One report to the membership service, on a connection that is kept between reports while it lasts. */
+/** Reports health to the membership service by HTTP, on a connection that is kept open between reports. */
 public final class MembershipCall implements HealthReportSink {
-    /** What a service answers: its status, and whether the connection may be used again. */
+    /** The status of a response, and whether the connection can be reused. */
     record Response(int status, boolean keepAlive) {
     }
 
+    /** Limit for all headers and for one line; a response with a longer body closes the connection. */
     private static final int MAX_HEADER_BYTES = 8 << 10;
 
     private volatile InetSocketAddress address;
@@ -25,6 +26,7 @@
     private InetSocketAddress connectedAddress;
     private DeadlineInputStream in;
 
+    /** Connects with the first report; {@code name} is the name of this instance at the membership service. */
     public MembershipCall(InetSocketAddress address, String name, Limits limits) {
         this.address = address;
         this.name = name;
@@ -47,12 +49,12 @@
             return sendReport(healthy, target);
         } catch (IOException e) {
             close();
-            // One without an answer has arrived all the same: it is not sent twice.
+            // A report whose response timed out has arrived all the same, so it is not sent again.
             if (!reused || e instanceof SocketTimeoutException) {
                 throw e;
             }
         }
-        // The kept connection may have been closed meanwhile; a report may arrive twice without harm.
+        // The service may have closed the idle connection; a report that arrives twice does no harm.
         try {
             return sendReport(healthy, target);
         } catch (IOException e) {
@@ -69,7 +71,8 @@
     }
 
     private int sendReport(boolean healthy, InetSocketAddress target) throws IOException {
-        // For all of the call: one that comes in pieces would else hold up the next report for as many waits.
+        // One deadline for the whole call: a response in pieces would otherwise delay the next report by a timeout for
+        // each piece.
         long deadlineNanos = System.nanoTime() + limits.reportTimeoutTenthsMs * 100_000;
         if (socket == null) {
             Socket newSocket = new Socket();
@@ -93,7 +96,7 @@
         return response.status;
     }
 
-    /** What a socket gives until a time, read in pieces as large as they come. */
+    /** Buffered input of a socket with one deadline for all reads. */
     private static final class DeadlineInputStream extends InputStream {
         private final Socket socket;
         private final InputStream in;
@@ -112,7 +115,7 @@
             if (position == filledBytes) {
                 long remainingMs = (deadlineNanos - System.nanoTime()) / 1_000_000;
                 if (remainingMs <= 0) {
-                    throw new SocketTimeoutException("no whole answer in time");
+                    throw new SocketTimeoutException("timed out waiting for the response");
                 }
                 socket.setSoTimeout((int) remainingMs);
                 position = 0;
@@ -125,18 +128,18 @@
         }
     }
 
-    /** One answer and no byte past it; throws IOException for what is none, or has no end in sight. */
+    /** Reads exactly one response; throws IOException if it is malformed or its header is too long. */
     static Response readResponse(InputStream in) throws IOException {
         String statusLine = readLine(in);
         String[] words = statusLine.split(" ");
         if (words.length < 2 || !words[0].startsWith("HTTP/1.") || words[1].length() != 3) {
-            throw new IOException("no answer of HTTP/1.1: " + statusLine);
+            throw new IOException("not an HTTP/1.1 response: " + statusLine);
         }
         int status;
         try {
             status = Integer.parseInt(words[1]);
         } catch (NumberFormatException e) {
-            throw new IOException("no answer of HTTP/1.1: " + statusLine);
+            throw new IOException("not an HTTP/1.1 response: " + statusLine);
         }
         boolean keepAlive = words[0].equals("HTTP/1.1");
         long length = status == 204 || status == 304 ? 0 : -1;
@@ -144,7 +147,7 @@
         for (String header = readLine(in); !header.isEmpty(); header = readLine(in)) {
             headerBytes += header.length();
             if (headerBytes > MAX_HEADER_BYTES) {
-                throw new IOException("a head without an end");
+                throw new IOException("response headers exceed " + MAX_HEADER_BYTES + " bytes");
             }
             int colon = header.indexOf(':');
             String value = colon < 0 ? "" : header.substring(colon + 1).trim();
@@ -158,7 +161,7 @@
                 keepAlive = false;
             }
         }
-        // An answer whose end isn't told plainly costs the connection, not a parser for every way to tell it.
+        // A response without a plain Content-Length closes the connection; other ways to delimit it are not parsed.
         if (!keepAlive || length < 0 || length > MAX_HEADER_BYTES) {
             return new Response(status, false);
         }
@@ -170,7 +173,7 @@
         StringBuilder line = new StringBuilder();
         for (int c = in.read(); c != '\n'; c = in.read()) {
             if (c < 0 || line.length() > MAX_HEADER_BYTES) {
-                throw new IOException("the answer ends early");
+                throw new IOException("response is incomplete or has a line that is too long");
             }
             if (c != '\r') {
                 line.append((char) c);
--- a/lab/src/test/java/vetchrill/protocol/MessageSplittingTest.java
+++ b/lab/src/test/java/vetchrill/protocol/MessageSplittingTest.java
@@ -2,6 +2,7 @@
 
 import static org.testng.Assert.assertEquals;
 
+import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -12,15 +13,15 @@
 import vetchrill.transport.Connection;
 import vetchrill.transport.Limits;
 
-/** What a peer writes is read the same wherever the network cuts it. */
+/** Messages are parsed the same at whichever byte the network splits them. */
 @Test
 public class MessageSplittingTest {
     private final Limits limits = new Limits(192 << 20, 64);
 
-    /** Gives the bytes in two parts, the rest of the first once more with the second, as a connection does. */
-    private static void consumeInTwoParts(Connection.InputHandler handler, byte[] bytes, int cut) {
+    /** Passes the bytes in two parts, the unconsumed rest of the first again with the second, as a connection does. */
+    private static void consumeInTwoParts(Connection.InputHandler handler, byte[] bytes, int split) {
         int from = 0;
-        for (int to : new int[] {cut, bytes.length}) {
+        for (int to : new int[] {split, bytes.length}) {
             int consumedBytes = 1;
             while (consumedBytes > 0 && from < to) {
                 byte[] seen = Arrays.copyOf(bytes, to);
@@ -33,22 +34,21 @@
     }
 
     public void framesSplitAtAnyByteParseTheSame() throws IOException {
-        java.io.ByteArrayOutputStream all = new java.io.ByteArrayOutputStream();
+        ByteArrayOutputStream all = new ByteArrayOutputStream();
         all.write(StubClient.exchange(1, "look", "00000000000000aa", "b\0dy"));
         all.write(StubClient.frame(2, 2, new byte[20_000]));
         all.write(StubClient.frame(16, 3, StubClient.payload("")));
         byte[] bytes = all.toByteArray();
-        for (int cut = 0; cut <= bytes.length; cut += cut < 300 || cut > 20_000 ? 1 : 97) {
+        for (int split = 0; split <= bytes.length; split += split < 300 || split > 20_000 ? 1 : 97) {
             List<String> seen = new ArrayList<>();
             consumeInTwoParts(new FrameReader(limits, new FrameReader.Handler() {
                 @Override
                 public boolean onFrame(int type, int stream, byte[] buf, int from, int to) {
                     Fields fields = new Fields();
-                    String wrong = fields.parse(buf, from, to);
-                    seen.add(type + " " + stream + " " + wrong + " " + fields.text("rid") + " "
+                    String error = fields.parse(buf, from, to);
+                    seen.add(type + " " + stream + " " + error + " " + fields.text("rid") + " "
                             + fields.number("mem") + " " + new String(buf, fields.bodyOffset(),
-                            to - fields.bodyOffset(),
-                            StandardCharsets.ISO_8859_1));
+                            to - fields.bodyOffset(), StandardCharsets.ISO_8859_1));
                     return true;
                 }
 
@@ -64,12 +64,12 @@
                 }
 
                 @Override
-                public void onInputEnded(boolean gone) {
+                public void onInputEnded(boolean disconnected) {
                     seen.add("over");
                 }
-            }), bytes, cut);
+            }), bytes, split);
             assertEquals(seen, List.of("2 1 null 00000000000000aa 24.5 b\0dy", "oversized 2 2",
-                    "16 3 null null NaN ", "over"), "cut at " + cut);
+                    "16 3 null null NaN ", "over"), "split at " + split);
         }
     }
 
@@ -77,7 +77,7 @@
         byte[] bytes = ("BANNER old 3600000\r\nVALUE 1 aa good 12.5 6\r\nA\r\nB\r\n\r\nTOPS 7 0.5 1 0.1 3\r\n"
                 + "NOVELTY 1 2\r\nTRACE 2 hello there\r\nVALUE 3 bb gone 0 0\r\n\r\nERROR APPLY cc\r\n")
                 .getBytes(StandardCharsets.UTF_8);
-        for (int cut = 0; cut <= bytes.length; cut++) {
+        for (int split = 0; split <= bytes.length; split++) {
             List<String> seen = new ArrayList<>();
             consumeInTwoParts(new InterpreterLines(limits, new InterpreterLines.Handler() {
                 @Override
@@ -86,8 +86,9 @@
                 }
 
                 @Override
-                public void onValue(long number, String id, String end, long took, byte[] buf, int from, int to) {
-                    seen.add(number + " " + id + " " + end + " " + took + " "
+                public void onValue(long noticeNumber, String id, String runStatus, long runDuration, byte[] buf,
+                        int from, int to) {
+                    seen.add(noticeNumber + " " + id + " " + runStatus + " " + runDuration + " "
                             + new String(buf, from, to - from, StandardCharsets.UTF_8));
                 }
 
@@ -102,17 +103,17 @@
                 }
 
                 @Override
-                public void onTrace(long number, String text) {
-                    seen.add("remark " + number);
+                public void onTrace(long noticeNumber, String text) {
+                    seen.add("trace " + noticeNumber);
                 }
 
                 @Override
-                public void onInputEnded(String why) {
+                public void onInputEnded(String reason) {
                     seen.add("over");
                 }
-            }), bytes, cut);
-            assertEquals(seen, List.of("old 36000000", "1 aa good 125 A\r\nB\r\n", "7 [0.5, 1.0, 0.1, 3.0]", "remark 2",
-                    "3 bb gone 0 ", "ERROR APPLY cc", "over"), "cut at " + cut);
+            }), bytes, split);
+            assertEquals(seen, List.of("old 36000000", "1 aa good 125 A\r\nB\r\n", "7 [0.5, 1.0, 0.1, 3.0]", "trace 2",
+                    "3 bb gone 0 ", "ERROR APPLY cc", "over"), "split at " + split);
         }
     }
 
