--- a/instance/src/main/java/vetchrill/wire/InstanceAdapter.java
+++ b/instance/src/main/java/vetchrill/wire/InstanceAdapter.java
@@ -10,9 +10,9 @@
 import vetchrill.control.OverloadController;
 import vetchrill.protocol.DeploymentReader;
 
-/** One instance as the wire sees it: its ids, its controller, and what it writes. */
+/** Connects the controller of one instance to the wire: maps ids to exchanges and writes each action as a line. */
 final class InstanceAdapter implements Host {
-    /** An exchange with the number by which the wire knows it. */
+    /** An exchange with its id on the wire. */
     private static final class WireExchange extends Exchange {
         final long id;
 
@@ -27,10 +27,13 @@
     private final LineWriter out;
     private final Deployment deployment;
     private final DeploymentReader deploymentReader;
+    /** The gauges of the last timer message, in the order that the settings give. */
     private final double[] gauges = new double[16];
     private final Map<Long, WireExchange> exchangesById = new LinkedHashMap<>();
+    /** Time from its arrival for which a finished exchange is kept, as late events and repeats may name it. */
     private final long retentionTime;
     private long now;
+    /** Whether the reply to the present batch has the line that names this instance. */
     private boolean headerWritten;
     final OverloadController controller;
 
@@ -47,6 +50,7 @@
         controller = new OverloadController(deployment, seed, now);
     }
 
+    /** An exchange arrived. What it has waited unread is rounded up, so that no deadline is overestimated. */
     void onInbound(LineParser line, long now) {
         long id = -1;
         long type = -1;
@@ -79,16 +83,16 @@
             }
         }
         if (id < 0) {
-            throw line.error("'inbound' without a usable 'rid'");
+            throw line.error("'inbound' without a valid 'rid'");
         }
         if (type < 0 || type >= deployment.groups.size()) {
-            throw line.error("'inbound' with no known 'type'");
+            throw line.error("'inbound' without a known 'type'");
         }
         if (customer < 0 || customer >= Math.max(1, deployment.allowancePerSecond.length)) {
-            throw line.error("'inbound' with no known 'team'");
+            throw line.error("'inbound' without a known 'team'");
         }
         if (exchangesById.containsKey(id)) {
-            throw line.error("'inbound' with an 'rid' given before: " + id);
+            throw line.error("'inbound' with a duplicate 'rid': " + id);
         }
         WireExchange ex = new WireExchange(id);
         ex.group = deployment.groups.get((int) type);
@@ -104,16 +108,16 @@
         controller.onArrival(ex, now);
     }
 
-    /** The exchange that a line names, or null when it is over, which does no harm. */
+    /** The exchange with this id, or null if it has finished: events for finished exchanges are ignored. */
     Exchange lookUp(LineParser line, long id) {
         Exchange ex = exchangesById.get(id);
         if (ex == null) {
-            throw line.error("'" + line.name() + "' names an rid never given to instance " + instance
-                    + ": " + id);
+            throw line.error("'" + line.name() + "' with an 'rid' unknown to instance " + instance + ": " + id);
         }
         return ex.isFinished() ? null : ex;
     }
 
+    /** The timer requested by {@link #scheduleTick} expired; the message carries the gauges. */
     void onTimer(LineParser line, long now) {
         int count = 0;
         while (line.nextField()) {
@@ -130,6 +134,7 @@
         return index >= 0 && index < count ? gauges[index] : 0;
     }
 
+    /** Lets the controller decide until it has nothing left to do, then forgets old finished exchanges. */
     void runDecisions(long now) {
         this.now = now;
         headerWritten = false;
@@ -146,6 +151,7 @@
         }
     }
 
+    /** Tells the other side that this instance has failed. */
     void reportFailure(String reason) {
         startLine("die").field("reasonText", reason.replace('\n', ' ').replace('\r', ' ')).endLine();
     }
--- a/instance/src/main/java/vetchrill/wire/LineParser.java
+++ b/instance/src/main/java/vetchrill/wire/LineParser.java
@@ -4,7 +4,10 @@
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Reads one line at a time and walks over its fields in place, so that a line costs no garbage. */
+/**
+ * Reads one line at a time and walks over its fields in place, so that a line allocates nothing. A line is a name and
+ * fields of the form key=value, separated by single spaces.
+ */
 final class LineParser {
     private final InputStream in;
     private byte[] buffer = new byte[1 << 16];
@@ -23,7 +26,7 @@
         this.in = in;
     }
 
-    /** Goes to the next line; false at the end of the input. */
+    /** Advances to the next line; returns false at the end of the input. */
     boolean nextLine() throws IOException {
         int start = lineNumber == 0 ? 0 : lineEnd + 1;
         int index = start;
@@ -65,14 +68,17 @@
         return true;
     }
 
+    /** An exception that names the present line; the caller throws it. */
     WireFormatException error(String reason) {
         return new WireFormatException(lineNumber, reason);
     }
 
+    /** The name of the message in the present line. */
     String name() {
         return new String(buffer, lineStart, nameEnd - lineStart, StandardCharsets.UTF_8);
     }
 
+    /** Advances to the next field; returns false at the end of the line. */
     boolean nextField() {
         if (position >= lineEnd) {
             return false;
@@ -83,7 +89,7 @@
             index++;
         }
         if (index >= lineEnd || buffer[index] != '=' || index == keyStart) {
-            throw error("a field without name=value in '" + name() + "'");
+            throw error("a field that is not key=value in '" + name() + "'");
         }
         keyEnd = index;
         valueStart = index + 1;
@@ -116,11 +122,12 @@
         return true;
     }
 
+    /** The value of the present field. */
     String text() {
         return new String(buffer, valueStart, valueEnd - valueStart, StandardCharsets.UTF_8);
     }
 
-    /** The value up to the end of the line. */
+    /** The value of the present field if it extends to the end of the line, spaces included. */
     String restOfLine() {
         valueEnd = lineEnd;
         position = lineEnd;
@@ -156,7 +163,7 @@
         return number(valueStart, valueEnd);
     }
 
-    /** The value's parts between commas, as far as there are any; returns how many. */
+    /** Parses a list separated by commas into {@code into}, as far as that has room; returns the length. */
     int numberList(double[] into) {
         int count = 0;
         int from = valueStart;
@@ -202,6 +209,7 @@
         return negative ? -value : value;
     }
 
+    /** Parses what the fast path does not: an exponent, or very many digits. */
     private double parseUnusualNumber(int from, int to) {
         try {
             double value = Double.parseDouble(new String(buffer, from, to - from, StandardCharsets.UTF_8));
@@ -214,7 +222,7 @@
         throw badValue("a number");
     }
 
-    /** Milliseconds as whole tenths, cut, so that nothing seems later than it is. */
+    /** A value in milliseconds as tenths of a millisecond, rounded down, so that no deadline seems later than it is. */
     long tenthsOfMs() {
         return (long) Math.floor(number() * 10 + 1e-6);
     }
--- a/instance/src/main/java/vetchrill/wire/LineWriter.java
+++ b/instance/src/main/java/vetchrill/wire/LineWriter.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.io.OutputStream;
 
-/** Builds the reply of one batch in memory and sends it whole. */
+/** Builds the reply to a batch in memory and sends it as a whole. */
 final class LineWriter {
     private byte[] buffer = new byte[1 << 14];
     private int size;
@@ -28,6 +28,7 @@
         return key(key).append(text);
     }
 
+    /** Writes a time or duration in tenths of a millisecond as milliseconds with one decimal. */
     LineWriter millis(String key, long tenths) {
         key(key);
         if (tenths < 0) {
--- a/instance/src/main/java/vetchrill/wire/WireFormatException.java
+++ b/instance/src/main/java/vetchrill/wire/WireFormatException.java
@@ -1,6 +1,6 @@
 package vetchrill.wire;
 
-/** Input that the wire does not allow; the message names the line and the reason. */
+/** Thrown for invalid input; the message names the line number and the reason. */
 public final class WireFormatException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/instance/src/main/java/vetchrill/wire/WireHost.java
+++ b/instance/src/main/java/vetchrill/wire/WireHost.java
@@ -10,7 +10,10 @@
 import vetchrill.control.Exchange;
 import vetchrill.protocol.DeploymentReader;
 
-/** Speaks the wire: hands each event to its instance as it is read, asks for decisions when a batch ends. */
+/**
+ * Serves any number of instances over a line protocol. Input comes in batches of events; each event is passed to its
+ * instance as it is read, and at the end of a batch the instances that had events make their decisions.
+ */
 public final class WireHost {
     private final LineParser line;
     private final OutputStream out;
@@ -20,6 +23,7 @@
     private long now;
     private long batchNumber;
     private boolean batchOpen;
+    /** The instance that the events of the batch belong to, -1 until one is named. */
     private int instance = -1;
 
     public WireHost(InputStream in, OutputStream out) {
@@ -27,7 +31,11 @@
         this.out = out;
     }
 
-    /** Runs until the input ends. */
+    /**
+     * Runs until the input ends.
+     *
+     * @throws WireFormatException if the input is invalid or ends within a batch
+     */
     public void run() throws IOException {
         while (line.nextLine()) {
             String name = line.name();
@@ -118,7 +126,7 @@
     private void handleEvent(String name) {
         InstanceAdapter adapter = instances.get(instance);
         if (adapter == null) {
-            throw line.error("'" + name + "' for an instance never born: " + instance);
+            throw line.error("'" + name + "' for an unknown instance: " + instance);
         }
         instancesToDecide.add(adapter);
         switch (name) {
@@ -207,7 +215,7 @@
             }
         }
         if (value < 0) {
-            throw line.error("'" + line.name() + "' without a usable '" + key + "'");
+            throw line.error("'" + line.name() + "' without a valid '" + key + "'");
         }
         return value;
     }
