--- a/instance/src/test/java/vetchrill/control/ControllerScenario.java
+++ b/instance/src/test/java/vetchrill/control/ControllerScenario.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A controller with a host that only writes down what it is asked, and words to tell a story with. */
+/**
+ * A test fixture: a controller whose host only records its actions, with methods to play events and to let time pass.
+ * Times are tenths of a millisecond.
+ */
 final class ControllerScenario implements Host {
     static final long MS = 10;
     static final long SECOND = 1000 * MS;
@@ -20,10 +23,12 @@
     final EndpointGroup repeatable = group(EndpointGroup.Effect.REPEATABLE, 1);
     final EndpointGroup deduplicated = group(EndpointGroup.Effect.DEDUPLICATED, 3);
     final EndpointGroup mutating = group(EndpointGroup.Effect.MUTATING, 3);
+    /** What the controller has asked for since the last {@link #decide}: a verb and the name of the exchange. */
     final List<String> actions = new ArrayList<>();
     double cpu = 1;
     double runnable = 2;
     double connections;
+    /** The longest retry-after delay of all rejections. */
     long longestRetryAfter;
     long now = 5 * SECOND;
     private OverloadController controller;
@@ -57,6 +62,7 @@
         return group;
     }
 
+    /** The controller, created at its first use so that a test can change the deployment before. */
     OverloadController controller() {
         if (controller == null) {
             controller = new OverloadController(deployment, 7, now);
@@ -101,7 +107,7 @@
         controller().onRunEnded(ex, Exchange.Outcome.COMPLETED, now - ex.startedAt, now);
     }
 
-    /** Runs {@code count} exchanges of {@code span} each, one by one, so that there is something measured. */
+    /** Completes {@code count} runs of {@code span} each, one after the other, so that there are measurements. */
     void completeRuns(EndpointGroup group, int count, long span) {
         for (int i = 0; i < count; i++) {
             Exchange ex = arrive("usual", group);
@@ -112,7 +118,7 @@
         decide();
     }
 
-    /** Lets the controller decide, and returns what it did since the last look. */
+    /** Lets the controller decide, and returns its actions since the last call of this method. */
     List<String> decide() {
         while (controller().next(this)) { }
         List<String> newActions = List.copyOf(actions);
@@ -120,7 +126,7 @@
         return newActions;
     }
 
-    /** Time passes with the gauges as they stand, a look at them each 100 ms. */
+    /** Lets {@code span} pass, with a tick every 100 ms at the present gauges, and returns the actions. */
     List<String> advance(long span) {
         List<String> all = new ArrayList<>(decide());
         long until = now + span;
@@ -142,18 +148,18 @@
     @Override public void begin(Exchange ex) { record("begin", ex); }
     @Override public void reject(Exchange ex, long retryAfter, boolean noRetry) {
         longestRetryAfter = Math.max(longestRetryAfter, retryAfter);
-        record(noRetry ? "deny for good" : "deny", ex);
+        record(noRetry ? "reject without retry" : "reject", ex);
     }
 
     @Override public void terminate(Exchange ex) { record("terminate", ex); }
     @Override public void interrupt(Exchange ex) { record("interrupt", ex); }
     @Override public void call(Exchange ex, long deadline) { record("call", ex); }
-    @Override public void skipCall(Exchange ex) { record("leave out", ex); }
+    @Override public void skipCall(Exchange ex) { record("skip call", ex); }
     @Override public void replay(Exchange ex) { record("replay", ex); }
-    @Override public void storeDedupKey(Exchange ex, long ttl) { record("remember", ex); }
-    @Override public void dropDedupKey(Exchange ex) { record("forget", ex); }
-    @Override public void setHealth(boolean healthy) { actions.add(healthy ? "well" : "ill"); }
-    @Override public void publishLoadHint(double hint) { actions.add("say " + Math.round(hint * 10) / 10.0); }
+    @Override public void storeDedupKey(Exchange ex, long ttl) { record("store key", ex); }
+    @Override public void dropDedupKey(Exchange ex) { record("drop key", ex); }
+    @Override public void setHealth(boolean healthy) { actions.add(healthy ? "healthy" : "unhealthy"); }
+    @Override public void publishLoadHint(double hint) { actions.add("hint " + Math.round(hint * 10) / 10.0); }
     @Override public void setIdleTime(long idleTime) { actions.add("idle " + idleTime); }
-    @Override public void scheduleTick(long delay) { /* pass() looks at the gauges whether asked for or not */ }
+    @Override public void scheduleTick(long delay) { /* advance() ticks whether requested or not */ }
 }
--- a/instance/src/test/java/vetchrill/control/DecisionsTest.java
+++ b/instance/src/test/java/vetchrill/control/DecisionsTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.Test;
 import vetchrill.control.Exchange.Outcome;
 
-/** The ordinary path of the design, and each exception that a bad day asked for. */
+/** Decisions of the controller in ordinary operation, and in the failure modes that need an exception from it. */
 @Test
 public class DecisionsTest {
     private static final long MS = ControllerScenario.MS;
@@ -54,7 +54,7 @@
         scenario.advance(10 * MS);
         scenario.arrive("first", scenario.repeatable);
         scenario.advance(10 * MS);
-        scenario.arrive("dear", scenario.mutating);
+        scenario.arrive("valuable", scenario.mutating);
         scenario.complete(x);
         assertEquals(scenario.decide(), List.of("begin first"));
     }
@@ -66,9 +66,9 @@
         scenario.arrive("x", scenario.repeatable);
         scenario.arrive("y", scenario.repeatable);
         scenario.arriveMany(6, "cheap", scenario.repeatable);
-        scenario.arrive("dear", scenario.mutating);
+        scenario.arrive("valuable", scenario.mutating);
         List<String> actions = scenario.decide();
-        assertTrue(actions.contains("deny cheap") && !actions.contains("deny dear"), actions.toString());
+        assertTrue(actions.contains("reject cheap") && !actions.contains("reject valuable"), actions.toString());
     }
 
     public void trafficBeyondACustomersShareIsShedFirst() {
@@ -84,9 +84,9 @@
             scenario.controller().onArrival(within, scenario.now);
         }
         List<String> actions = scenario.decide();
-        assertTrue(actions.contains("deny beyond"), actions.toString());
-        assertTrue(actions.lastIndexOf("deny beyond") < actions.indexOf("deny within")
-                || !actions.contains("deny within"));
+        assertTrue(actions.contains("reject beyond"), actions.toString());
+        assertTrue(actions.lastIndexOf("reject beyond") < actions.indexOf("reject within")
+                || !actions.contains("reject within"));
     }
 
     public void nothingIsRejectedWhileAllCanStartAtOnce() {
@@ -105,7 +105,7 @@
             scenario.completeRuns(scenario.repeatable, 3, 500 * MS);
             scenario.arriveMany(2, "first", scenario.repeatable);
             scenario.arrive("third", scenario.repeatable);
-            assertEquals(scenario.decide().contains("deny third"), backendTier);
+            assertEquals(scenario.decide().contains("reject third"), backendTier);
         }
     }
 
@@ -117,7 +117,7 @@
         scenario.controller().onCallRequested(a, scenario.now);
         assertEquals(scenario.decide(), List.of("call a"));
         scenario.controller().onCallEnded(a, Outcome.CALLEE_SATURATED, 0, scenario.now);
-        assertTrue(scenario.advance(400 * MS).contains("leave out a"));
+        assertTrue(scenario.advance(400 * MS).contains("skip call a"));
     }
 
     public void mandatoryCallIsMadeUntilTheSloTimeHasPassed() {
@@ -148,8 +148,8 @@
         scenario.arrive("b", scenario.repeatable);
         scenario.arrive("waits", scenario.repeatable);
         List<String> actions = scenario.advance(1600 * MS);
-        assertTrue(actions.containsAll(List.of("deny waits", "ill")), actions.toString());
-        assertTrue(scenario.advance(5 * SECOND).contains("well"));
+        assertTrue(actions.containsAll(List.of("reject waits", "unhealthy")), actions.toString());
+        assertTrue(scenario.advance(5 * SECOND).contains("healthy"));
         scenario.complete(a);
         scenario.advance(100 * MS);
         scenario.arrive("new", scenario.repeatable);
@@ -175,9 +175,9 @@
         scenario.advance(100 * MS);
         Exchange probe = scenario.arrive("probe", scenario.repeatable);
         scenario.arrive("once", scenario.mutating);
-        assertEquals(scenario.decide(), List.of("deny once", "begin probe"));
+        assertEquals(scenario.decide(), List.of("reject once", "begin probe"));
         scenario.arrive("next", scenario.repeatable);
-        assertEquals(scenario.decide(), List.of("deny next"));
+        assertEquals(scenario.decide(), List.of("reject next"));
         scenario.complete(probe);
         scenario.advance(SECOND);
         scenario.complete(scenario.arrive("another", scenario.repeatable));
@@ -196,15 +196,19 @@
         scenario.decide();
         scenario.now += SECOND;
         scenario.controller().onTick(1, 2, 0, scenario.now);
-        assertFalse(scenario.decide().stream().anyMatch(action -> action.equals("ill") || action.startsWith("deny")));
+        assertFalse(scenario.decide().stream()
+                .anyMatch(action -> action.equals("unhealthy") || action.startsWith("reject")));
     }
 
     public void unhealthyWhenExchangesAreReadTooLateButNotWhenAllServersAreFull() {
-        assertTrue(arriveForFourSeconds(10, 5 * SECOND, 0).contains("ill"));
-        assertFalse(arriveForFourSeconds(60, 5 * SECOND, 0).contains("ill"));
+        assertTrue(arriveForFourSeconds(10, 5 * SECOND, 0).contains("unhealthy"));
+        assertFalse(arriveForFourSeconds(60, 5 * SECOND, 0).contains("unhealthy"));
     }
 
-    /** Four seconds of arrivals that waited unread for so long, in the first half no longer than a second. */
+    /**
+     * Four seconds of arrivals. In the first two seconds the read delay is at most a second; later each eighth arrival
+     * has none. {@code blocked} runs never end.
+     */
     private static List<String> arriveForFourSeconds(int perSecond, long readDelay, int blocked) {
         ControllerScenario scenario = new ControllerScenario();
         List<String> actions = new ArrayList<>();
@@ -232,10 +236,10 @@
         ControllerScenario scenario = new ControllerScenario();
         scenario.deployment.discoveryFollowsHealth = true;
         arriveThirtyReadLate(scenario, 5 * SECOND);
-        assertTrue(scenario.advance(100 * MS).contains("ill"));
-        assertFalse(scenario.advance(SECOND).contains("well"));
+        assertTrue(scenario.advance(100 * MS).contains("unhealthy"));
+        assertFalse(scenario.advance(SECOND).contains("healthy"));
         scenario.cpu = 0.3;
-        assertTrue(scenario.advance(100 * MS).contains("well"));
+        assertTrue(scenario.advance(100 * MS).contains("healthy"));
     }
 
     public void coldServerTurnsUnhealthyAtAShorterReadDelay() {
@@ -246,7 +250,7 @@
             scenario.deployment.coldSpeedRatio = 0.2;
             scenario.deployment.warmUpTime = 16 * SECOND;
             arriveThirtyReadLate(scenario, 600 * MS);
-            assertEquals(scenario.advance(100 * MS).contains("ill"), cold);
+            assertEquals(scenario.advance(100 * MS).contains("unhealthy"), cold);
         }
     }
 
@@ -262,7 +266,7 @@
         scenario.arrive("x", scenario.repeatable).declaredCoreTime = 10 * MS;
         scenario.arrive("y", scenario.repeatable).declaredCoreTime = 10 * MS;
         scenario.arrive("huge", scenario.repeatable).declaredCoreTime = SECOND;
-        assertFalse(scenario.decide().contains("deny huge"));
+        assertFalse(scenario.decide().contains("reject huge"));
     }
 
     public void runLimitDropsWhileTheReadDelayIsLong() {
@@ -277,21 +281,22 @@
 
     public void retriesAreForbiddenWhenReadingIsExpensiveAndAlwaysOnceArrivalsRise() {
         assertEquals(noRetryRatio(arriveForFourSeconds(60, 200 * MS, 2)), 1, 0.2);
-        assertTrue(noRetryRatio(arriveForFourSeconds(60, 2 * MS, 2)) < 0.2, "reading is cheap, let it go elsewhere");
+        assertTrue(noRetryRatio(arriveForFourSeconds(60, 2 * MS, 2)) < 0.2,
+                "reading is cheap: retries at other servers are allowed");
         double ratio = noRetryRatio(arriveForFourSeconds(16, 100 * MS, 2));
-        assertTrue(ratio > 0.2 && ratio < 0.8, "only this one is slow, but reading is dear: " + ratio);
+        assertTrue(ratio > 0.2 && ratio < 0.8, "only this server is slow, but reading is expensive: " + ratio);
     }
 
-    /** Part of the denials for good, up to where the blocked cores count as hung. */
+    /** Share of the rejections that forbid a retry, up to shortly before the blocked runs count as stuck. */
     private static double noRetryRatio(List<String> all) {
-        List<String> actions = all.contains("ill") ? all.subList(0, all.indexOf("ill") - 12) : all;
-        return (double) actions.stream().filter("deny for good ex"::equals).count()
-                / actions.stream().filter(action -> action.startsWith("deny")).count();
+        List<String> actions = all.contains("unhealthy") ? all.subList(0, all.indexOf("unhealthy") - 12) : all;
+        return (double) actions.stream().filter("reject without retry ex"::equals).count()
+                / actions.stream().filter(action -> action.startsWith("reject")).count();
     }
 
     public void manyMarkedRetriesMeanThatOtherServersAreFullToo() {
         assertTrue(noRetryRatioWithMarkedRetries(2) > 0.9);
-        assertTrue(noRetryRatioWithMarkedRetries(50) < 0.2, "only this one is short");
+        assertTrue(noRetryRatioWithMarkedRetries(50) < 0.2, "only this server is full");
     }
 
     private static double noRetryRatioWithMarkedRetries(int retryEvery) {
@@ -310,8 +315,8 @@
         scenario.deployment.loadHint = Deployment.LoadHint.TOKENS;
         rejectSome(scenario);
         List<String> actions = scenario.advance(600 * MS);
-        actions.removeIf(action -> !action.startsWith("say"));
-        assertEquals(actions, List.of("say 2.0", "say 2.2", "say 2.4"));
+        actions.removeIf(action -> !action.startsWith("hint"));
+        assertEquals(actions, List.of("hint 2.0", "hint 2.2", "hint 2.4"));
     }
 
     public void minRankRisesWhileWorkIsRejected() {
@@ -322,44 +327,46 @@
             rejectSome(scenario);
             actions.addAll(scenario.advance(100 * MS));
         }
-        assertTrue(actions.contains("say 0.1"), actions.toString());
-        assertTrue(scenario.advance(2 * SECOND).contains("say 0.0"));
+        assertTrue(actions.contains("hint 0.1"), actions.toString());
+        assertTrue(scenario.advance(2 * SECOND).contains("hint 0.0"));
     }
 
     private static void rejectSome(ControllerScenario scenario) {
         scenario.repeatable.coreTime.add(600 * MS);
         scenario.arriveMany(10, "ex", scenario.repeatable);
-        assertTrue(scenario.decide().contains("deny ex"));
+        assertTrue(scenario.decide().contains("reject ex"));
     }
 
-    /** Told a second where the hold turns over in half of one, all callers were away while cores were idle. */
+    /**
+     * With a retry-after delay of a second, and a pending queue that turns over in half a second, all callers stayed
+     * away while cores were idle.
+     */
     public void retryAfterFollowsThePendingTurnoverAndIsLongerWhileDraining() {
         ControllerScenario scenario = new ControllerScenario();
-        scenario.completeRuns(scenario.repeatable, 20, 200 * ControllerScenario.MS);
+        scenario.completeRuns(scenario.repeatable, 20, 200 * MS);
         scenario.arriveMany(60, "one of many", scenario.repeatable);
         scenario.decide();
-        assertTrue(scenario.longestRetryAfter > 300 * ControllerScenario.MS && scenario.longestRetryAfter <= 500
-                * ControllerScenario.MS,
-                "away " + scenario.longestRetryAfter);
-        scenario.controller().startDrain(scenario.now + 4 * ControllerScenario.SECOND, scenario.now);
+        assertTrue(scenario.longestRetryAfter > 300 * MS && scenario.longestRetryAfter <= 500 * MS,
+                "full: " + scenario.longestRetryAfter);
+        scenario.controller().startDrain(scenario.now + 4 * SECOND, scenario.now);
         scenario.arriveMany(60, "one of many", scenario.repeatable);
         scenario.decide();
-        assertTrue(scenario.longestRetryAfter > 600 * ControllerScenario.MS, "leaving " + scenario.longestRetryAfter);
+        assertTrue(scenario.longestRetryAfter > 600 * MS, "draining: " + scenario.longestRetryAfter);
     }
 
-    /** A crowd that all come at once must not stop the decisions for everybody else. */
+    /** Rejecting a large burst of arrivals must not hold up the decisions on all other exchanges. */
     public void rejectingABurstTakesTimeInProportionToItsSize() {
         ControllerScenario scenario = new ControllerScenario();
         scenario.deployment.memoryKb = 1e9;
-        scenario.completeRuns(scenario.repeatable, 20, 40 * ControllerScenario.MS);
-        scenario.completeRuns(scenario.mutating, 20, 90 * ControllerScenario.MS);
+        scenario.completeRuns(scenario.repeatable, 20, 40 * MS);
+        scenario.completeRuns(scenario.mutating, 20, 90 * MS);
         for (int i = 0; i < 4000; i++) {
             scenario.arrive("one of many", i % 3 == 0 ? scenario.mutating : scenario.repeatable);
         }
         long startNanos = System.nanoTime();
-        long rejected = scenario.decide().stream().filter(action -> action.startsWith("deny")).count();
+        long rejected = scenario.decide().stream().filter(action -> action.startsWith("reject")).count();
         long elapsedMs = (System.nanoTime() - startNanos) / 1_000_000;
-        assertTrue(rejected > 3000, "denied " + rejected);
+        assertTrue(rejected > 3000, "rejected " + rejected);
         assertTrue(elapsedMs < 1500, elapsedMs + " ms");
     }
 }
--- a/instance/src/test/java/vetchrill/control/RulesTest.java
+++ b/instance/src/test/java/vetchrill/control/RulesTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.Test;
 import vetchrill.control.Exchange.Outcome;
 
-/** The four rules, each kept by one instance on its own. */
+/** The four rules of the service design, each of which an instance keeps on its own; and those of a lease. */
 @Test
 public class RulesTest {
     private static final long MS = ControllerScenario.MS;
@@ -24,7 +24,7 @@
     public void exchangeReadPastItsDeadlineIsAnsweredAtOnce() {
         ControllerScenario scenario = new ControllerScenario();
         scenario.arriveAfterReadDelay("late", scenario.repeatable, 7 * SECOND);
-        assertTrue(scenario.decide().contains("deny late"));
+        assertTrue(scenario.decide().contains("reject late"));
     }
 
     public void answeredRunKeepsItsSlotUntilItEnds() {
@@ -43,7 +43,7 @@
     public void repeatOfOneThatRanIsReplayedNeverRunOrRejected() {
         ControllerScenario scenario = new ControllerScenario();
         Exchange a = scenario.arrive("a", scenario.deduplicated);
-        assertTrue(scenario.decide().containsAll(List.of("remember a", "begin a")));
+        assertTrue(scenario.decide().containsAll(List.of("store key a", "begin a")));
         scenario.advance(100 * MS);
         scenario.complete(a);
         scenario.advance(10 * SECOND);
@@ -68,13 +68,16 @@
         scenario.decide();
         Exchange a = scenario.arriveAfterReadDelay("a", scenario.deduplicated, 1900 * MS);
         List<String> actions = scenario.decide();
-        assertTrue(actions.contains("deny a") && actions.contains("forget a"), actions.toString());
+        assertTrue(actions.contains("reject a") && actions.contains("drop key a"), actions.toString());
         scenario.repeat("again", a);
         actions = scenario.decide();
-        assertTrue(actions.contains("remember again") && !actions.contains("replay again"), actions.toString());
+        assertTrue(actions.contains("store key again") && !actions.contains("replay again"), actions.toString());
     }
 
-    /** Found by fuzzing: the next look came after the stop, and a repeat is not in the hold that is denied at once. */
+    /**
+     * Found by fuzzing: the next tick came after the stop, and a repeat is not in the pending queue, which is rejected
+     * at once.
+     */
     public void repeatThatArrivesJustBeforeTheStopIsAnsweredBeforeIt() {
         ControllerScenario scenario = new ControllerScenario();
         Exchange a = scenario.arrive("a", scenario.deduplicated);
@@ -117,7 +120,7 @@
         assertTrue(scenario.decide().contains("begin early"));
         scenario.advance(200 * MS);
         scenario.arrive("late", scenario.repeatable);
-        assertEquals(scenario.decide(), List.of("deny late"));
+        assertEquals(scenario.decide(), List.of("reject late"));
     }
 
     public void everyExchangeIsAnsweredBeforeTheStopUpToTheLastTick() {
@@ -126,7 +129,7 @@
         scenario.controller().startDrain(scenario.now + 3 * SECOND, scenario.now);
         assertTrue(scenario.advance(2950 * MS).contains("terminate running"));
         scenario.arrive("last", scenario.mutating);
-        assertEquals(scenario.decide(), List.of("deny last"));
+        assertEquals(scenario.decide(), List.of("reject last"));
     }
 
     public void nothingStartsThatWouldExceedTheWatermark() {
@@ -150,8 +153,8 @@
         scenario.repeatable.coreTime.add(MS);
         scenario.arriveMany(15, "new", scenario.repeatable);
         List<String> actions = scenario.decide();
-        assertTrue(actions.contains("deny new"), actions.toString());
-        assertFalse(actions.stream().anyMatch(action -> action.startsWith("forget")));
+        assertTrue(actions.contains("reject new"), actions.toString());
+        assertFalse(actions.stream().anyMatch(action -> action.startsWith("drop key")));
     }
 
     public void coldInstanceRunsFewerUntilItIsWarm() {
@@ -195,11 +198,11 @@
         scenario.controller().onCallRequested(b, scenario.now);
         assertEquals(scenario.decide(), List.of("call a"));
         scenario.controller().onCallEnded(a, Outcome.TIMED_OUT, 10, scenario.now);
-        assertFalse(scenario.decide().contains("call b"), "the given-up call still lingers below");
+        assertFalse(scenario.decide().contains("call b"), "the abandoned call still loads the dependency");
         assertTrue(scenario.advance(300 * MS).contains("call b"));
     }
 
-    /** What waits for its turn under an older version is not begun any more, what came under a newer one is. */
+    /** Pending exchanges of an older version are not started any more; those of the present version are. */
     public void nothingStartsBelowTheMinVersion() {
         ControllerScenario scenario = new ControllerScenario();
         scenario.deployment.cores = 1;
@@ -211,24 +214,24 @@
         fresh.version = 2;
         scenario.controller().onArrival(fresh, scenario.now);
         List<String> actions = scenario.decide();
-        assertEquals(actions.stream().filter("deny old"::equals).count(), 3, actions.toString());
-        assertFalse(actions.contains("begin old") || actions.contains("deny new"), actions.toString());
+        assertEquals(actions.stream().filter("reject old"::equals).count(), 3, actions.toString());
+        assertFalse(actions.contains("begin old") || actions.contains("reject new"), actions.toString());
         assertTrue(scenario.longestRetryAfter > 0);
     }
 
-    /** A lease runs out without a word: what comes is denied with a time, health goes out and comes back with it. */
+    /** Without a lease arrivals are rejected with a retry-after delay and health is bad; a new lease restores both. */
     public void withoutALeaseNothingStartsAndHealthIsBad() {
         ControllerScenario scenario = new ControllerScenario();
         scenario.controller().updateLease(0, 0, scenario.now + SECOND, scenario.now);
         scenario.arrive("in time", scenario.repeatable);
         List<String> before = scenario.decide();
-        assertTrue(before.contains("begin in time") && before.contains("well"), before.toString());
-        assertTrue(scenario.advance(1200 * MS).contains("ill"));
+        assertTrue(before.contains("begin in time") && before.contains("healthy"), before.toString());
+        assertTrue(scenario.advance(1200 * MS).contains("unhealthy"));
         scenario.arrive("late", scenario.mutating);
-        assertTrue(scenario.decide().contains("deny late"));
+        assertTrue(scenario.decide().contains("reject late"));
         scenario.controller().updateLease(0, 0, scenario.now + SECOND, scenario.now);
         scenario.arrive("again", scenario.mutating);
         List<String> after = scenario.decide();
-        assertTrue(after.contains("well") && after.contains("begin again"), after.toString());
+        assertTrue(after.contains("healthy") && after.contains("begin again"), after.toString());
     }
 }
