--- a/instance/src/main/java/vetchrill/program/InstanceRunner.java
+++ b/instance/src/main/java/vetchrill/program/InstanceRunner.java
@@ -50,22 +50,22 @@
         // accepted for it by then would be lost.
         LinkedBlockingQueue<ReceivedSignal> signals = new LinkedBlockingQueue<>();
         List<String> ignoredSignals = installSignalHandlers(signals, clock);
-        StartConfiguration start;
+        StartConfiguration configuration;
         try {
-            start = new StartConfiguration(environment);
+            configuration = new StartConfiguration(environment);
         } catch (IllegalArgumentException e) {
             System.err.println("vetchrill: " + e.getMessage());
             return 2;
         }
-        Limits limits = start.limits;
+        Limits limits = configuration.limits;
         DecisionThread thread = new DecisionThread(clock, limits);
-        ProcessingChain chain = new ProcessingChain(start.settings, start.seed, clock, thread,
-                new MembershipCall(start.membershipAddress, start.name, limits), limits, recorder);
+        ProcessingChain chain = new ProcessingChain(configuration.settings, configuration.seed, clock, thread,
+                new MembershipCall(configuration.membershipAddress, configuration.name, limits), limits, recorder);
         Listener listener;
         try {
-            listener = bind(start, limits, clock, chain, signals);
+            listener = bind(configuration, limits, clock, chain, signals);
         } catch (IOException e) {
-            System.err.println("vetchrill: can't listen on " + start.listenAddress + ": " + e.getMessage());
+            System.err.println("vetchrill: can't listen on " + configuration.listenAddress + ": " + e.getMessage());
             return 2;
         }
         if (listener == null) {
@@ -86,7 +86,7 @@
             Runtime.getRuntime().halt(70);
         });
         CountDownLatch drained = new CountDownLatch(1);
-        AtomicReference<StartConfiguration> current = new AtomicReference<>(start);
+        AtomicReference<StartConfiguration> current = new AtomicReference<>(configuration);
         LinkedBlockingQueue<Long> reloadedDrainTimes = new LinkedBlockingQueue<>();
         for (String name : ignoredSignals) {
             // The runtime leaves it so: whoever started this process from under nohup, say, is to hear of it.
@@ -102,14 +102,14 @@
             }
         }, limits.threadStackBytes * 4L).start();
         listener.start();
-        chain.start(start.interpreterAddress);
+        chain.start(configuration.interpreterAddress);
         // Last: what a signal asks for needs all of the above.
         Resources.newDaemonThread("signals",
                 () -> handleSignals(signals, reloadedDrainTimes, () -> reloadConfiguration(environment, current, chain),
                 drainNoticeAt -> drainTask(current.get(), drainNoticeAt, clock, chain, listener, reloadedDrainTimes,
                 drained)), limits.threadStackBytes).start();
-        LOG.log(System.Logger.Level.INFO, "{0} listens on {1}; {2} connections at most, {3} MB", start.name,
-                start.listenAddress, limits.targetConnections, limits.memoryBytes >> 20);
+        LOG.log(System.Logger.Level.INFO, "{0} listens on {1}; {2} connections at most, {3} MB", configuration.name,
+                configuration.listenAddress, limits.targetConnections, limits.memoryBytes >> 20);
         try {
             drained.await();
         } catch (InterruptedException e) {
@@ -145,19 +145,19 @@
      * A process that drains under the same address holds it to its end: it is waited for, as nothing else would start
      * this one again. Null where the notice to leave comes first.
      */
-    private static Listener bind(StartConfiguration start, Limits limits, Clock clock, ProcessingChain chain,
+    private static Listener bind(StartConfiguration configuration, Limits limits, Clock clock, ProcessingChain chain,
             LinkedBlockingQueue<ReceivedSignal> signals) throws IOException {
         long deadline = clock.now() + limits.bindTimeoutTenthsMs;
         boolean logged = false;
         while (true) {
             try {
-                return new Listener(start.listenAddress, limits, chain::onAccepted);
+                return new Listener(configuration.listenAddress, limits, chain::onAccepted);
             } catch (BindException e) {
                 if (clock.now() >= deadline) {
                     throw e;
                 }
                 if (!logged) {
-                    LOG.log(System.Logger.Level.WARNING, "can''t listen on {0} yet: {1}", start.listenAddress,
+                    LOG.log(System.Logger.Level.WARNING, "can''t listen on {0} yet: {1}", configuration.listenAddress,
                             e.getMessage());
                 }
                 logged = true;
@@ -213,13 +213,13 @@
         return current.get().drainTime;
     }
 
-    private static Runnable drainTask(StartConfiguration start, long drainNoticeAt, Clock clock, ProcessingChain chain,
+    private static Runnable drainTask(StartConfiguration configuration, long drainNoticeAt, Clock clock, ProcessingChain chain,
             Listener listener,
             LinkedBlockingQueue<Long> reloadedDrainTimes, CountDownLatch drained) {
         return () -> {
             try {
-                DrainStep.runAll(clock, drainNoticeAt, start.drainTime, reloadedDrainTimes,
-                        stopAt -> DrainStep.steps(start.limits, chain, drainNoticeAt,
+                DrainStep.runAll(clock, drainNoticeAt, configuration.drainTime, reloadedDrainTimes,
+                        stopAt -> DrainStep.steps(configuration.limits, chain, drainNoticeAt,
                         stopAt, listener::close, drained::countDown));
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
--- a/instance/src/main/java/vetchrill/program/StartConfiguration.java
+++ b/instance/src/main/java/vetchrill/program/StartConfiguration.java
@@ -43,9 +43,9 @@
         if (!name.matches("[A-Za-z0-9._-]+")) {
             throw new IllegalArgumentException("no usable name in GW_NAME or the configuration");
         }
-        listenAddress = address("listen", environment.getOrDefault("GW_LISTEN", root.path("listen").asText()));
-        interpreterAddress = address("vm", root.path("vm").asText());
-        membershipAddress = address("members", root.path("members").asText());
+        listenAddress = parseAddress("listen", environment.getOrDefault("GW_LISTEN", root.path("listen").asText()));
+        interpreterAddress = parseAddress("vm", root.path("vm").asText());
+        membershipAddress = parseAddress("members", root.path("members").asText());
         try {
             seed = Long.parseUnsignedLong(root.path("seed").asText(), 16);
         } catch (NumberFormatException e) {
@@ -81,7 +81,7 @@
         }
     }
 
-    private static InetSocketAddress address(String key, String text) {
+    private static InetSocketAddress parseAddress(String key, String text) {
         int colon = text.lastIndexOf(':');
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
--- a/instance/src/main/java/vetchrill/routing/AdmissionStage.java
+++ b/instance/src/main/java/vetchrill/routing/AdmissionStage.java
@@ -8,7 +8,10 @@
 import vetchrill.protocol.Frames;
 import vetchrill.transport.Limits;
 
-/** Hands to the module what happened and pulls its decisions. */
+/**
+ * Passes events (arrivals, ends of runs, gauges, leases, the drain) to the {@link OverloadController} and has its
+ * decisions executed. All methods run on the decision thread unless they say otherwise.
+ */
 final class AdmissionStage {
     private static final System.Logger LOG = System.getLogger("vetchrill.admit");
 
@@ -18,24 +21,24 @@
     private final ExchangeRegistry registry;
     private final Limits limits;
     private final RateLimitedLog peerLog;
-    /** Null where nothing is recorded. */
+    /** Null when recording is off. */
     private final Recorder recorder;
     private DecisionExecutor decisionExecutor;
     private IdempotencyCache idempotencyCache;
     private OverloadController controller;
-    /** When the process stops; 0 while nothing is known of that. */
+    /** When the process exits; 0 while it is not draining. */
     private long stopAt;
-    /** When that was heard: the grace runs from then on, though the interpreter comes up later. */
+    /** When the drain was requested: its grace period runs from here even if the interpreter comes up later. */
     private long drainNoticeAt;
     private double[] lastGauges = new double[0];
-    /** The version by which is decided what arrives, and its groups; null while that is what was told at start. */
+    /** The version that applies to new arrivals, and its groups; null while the start configuration applies. */
     private long activeVersion;
     private List<EndpointGroup> activeGroups;
     private volatile long minVersion;
     private volatile long leaseUntil = Long.MAX_VALUE;
-    /** Decided to be begun in time, and not asked for since the lease ran out in between. */
+    /** Starts that were decided in time but not requested, since the lease had expired by then. */
     int startsBlockedByLease;
-    /** The oldest that an exchange was when it came to the decision thread, since the last summary. */
+    /** Maximum age of an exchange when it reached the decision thread, since the last summary. */
     long maxArrivalAge;
 
     AdmissionStage(DeploymentReader settings, long seed, Clock clock, ExchangeRegistry registry, Limits limits,
@@ -49,10 +52,13 @@
         this.recorder = recorder;
     }
 
-    /** The interpreter is up: only now is there something to decide on, and known since when it warms up. */
+    /**
+     * Creates the controller: before the first banner nothing can run, and it is not known since when the interpreter
+     * has been warming up.
+     */
     void onInterpreterUp(DecisionExecutor decisionExecutor, long interpreterStartedAt) {
         this.decisionExecutor = decisionExecutor;
-        // Here the memory that is told is the interpreter's, which keeps neither keys nor results.
+        // The memory in the settings is the interpreter's, which stores neither idempotency keys nor results.
         settings.deployment.dedupKeyKb = 0;
         controller = new OverloadController(settings.deployment, seed, interpreterStartedAt);
         if (stopAt > 0) {
@@ -61,51 +67,57 @@
         controller.updateLease(activeVersion, minVersion, leaseUntil, clock.now());
     }
 
-    /** One point in the order of all that arrives: what came before is decided by the version of then. */
+    /** Exchanges that arrived before this call keep the version that was active on their arrival. */
     void activateVersion(long version, List<EndpointGroup> groups) {
-        this.activeVersion = version;
-        this.activeGroups = groups;
+        activeVersion = version;
+        activeGroups = groups;
         if (recorder != null) {
             recorder.versionActivated(version);
         }
         updateLease(minVersion, leaseUntil);
     }
 
-    void updateLease(long minVersion, long until) {
+    /** Refuses to start versions below {@code minVersion}, and all versions from {@code leaseUntil} on. */
+    void updateLease(long minVersion, long leaseUntil) {
         this.minVersion = minVersion;
-        leaseUntil = until;
+        this.leaseUntil = leaseUntil;
         if (controller != null) {
-            controller.updateLease(activeVersion, minVersion, until, clock.now());
+            controller.updateLease(activeVersion, minVersion, leaseUntil, clock.now());
         }
     }
 
-    /** Whether what is begun hangs on a word of others at all. */
-    boolean updateLease() {
+    /** Whether starts depend on a lease or on a minimum version agreed with other instances. */
+    boolean isLeaseRequired() {
         return minVersion > 0 || leaseUntil != Long.MAX_VALUE;
     }
 
     /**
-     * Looked at once more as a run is asked for, and as the command is written: the process may have stood still since
-     * that was decided. On any thread.
+     * Whether lease and minimum version still allow a start. Checked again when a run is requested and when its command
+     * is written, since the process may have been suspended after the decision. On any thread.
      */
     boolean mayStart(OpenExchange ex) {
         return ex.version >= minVersion && (leaseUntil == Long.MAX_VALUE || clock.now() < leaseUntil);
     }
 
-    /** The module holds it to be begun, and nothing of it was asked for. */
+    /** Denies an exchange that the controller has started but whose run was never requested. */
     void onStartBlocked(OpenExchange ex) {
         if (!ex.isFinished()) {
             startsBlockedByLease++;
             onRunFinished(ex, Exchange.Outcome.NOT_STARTED, 0);
             registry.deny(ex, settings.deployment.maxRetryAfter, false, clock.now());
-            registry.removeIfOver(ex);
+            registry.removeIfFinished(ex);
         }
     }
 
+    /** Whether the interpreter has come up, so that decisions can be made. */
     boolean isReady() {
         return controller != null;
     }
 
+    /**
+     * Registers an exchange read from a stub, or answers it at once where its stream or id is in use, a limit is
+     * reached or the interpreter has not come up yet.
+     */
     void onArrival(OpenExchange ex) {
         long now = clock.now();
         ex.stub.queuedArrivals.decrementAndGet();
@@ -118,22 +130,22 @@
             return;
         }
         if (ex.stub.openByStream.containsKey(ex.stream)) {
-            // An answer on its stream would be taken for that of the exchange which has it.
-            countViolation(ex, "a stream used while it is open");
+            // An answer on this stream would be taken for that of the exchange which is open on it.
+            countViolation(ex, "stream id is in use by an open exchange");
             rejectUnregistered(ex, Frames.terminated(0), Recorder.TERMINATED);
             return;
         }
         if (registry.isRegistered(ex.id)) {
-            countViolation(ex, "a rid used while it is open");
+            countViolation(ex, "rid is in use by an open exchange");
             rejectUnregistered(ex, Frames.terminated(ex.stream), Recorder.TERMINATED);
             return;
         }
         if (ex.stub.openByStream.size() >= limits.maxExchangesPerConnection) {
-            countViolation(ex, "more open than a connection carries");
+            countViolation(ex, "too many open exchanges on one connection");
             if (ex.idempotencyKey == null) {
                 rejectUnregistered(ex, Frames.denied(ex.stream, 0, false), Recorder.DENIED);
             } else {
-                // An earlier try of it may have run, which a denial would say is not so.
+                // An earlier attempt may have run, and a denial would promise that none did.
                 rejectUnregistered(ex, Frames.terminated(ex.stream), Recorder.TERMINATED);
             }
             return;
@@ -150,32 +162,34 @@
         registry.register(ex);
         controller.onArrival(ex, now);
         if (ex.idempotencyKey != null) {
-            // A further try that waits behind it in the queue is to find it remembered, or denied and forgotten.
+            // A retry queued right behind this exchange must find its key stored, or find it denied and dropped.
             executeDecisions();
         }
     }
 
-    /** For what no stub does; see {@link StubFrameHandler} for where it ends. */
+    /** Logs input that no correct stub sends; {@link StubFrameHandler} stops reading after too much of it. */
     void countViolation(OpenExchange ex, String violation) {
         ex.stub.violations.incrementAndGet();
-        peerLog.warn(LOG, "bad input: {0}", violation);
+        peerLog.warn(LOG, "invalid input from a stub: {0}", violation);
     }
 
+    /** Answers an exchange that never became open. */
     private void rejectUnregistered(OpenExchange ex, byte[] frame, byte answerKind) {
         ex.stub.connection.send(frame);
         registry.closeUnregistered(ex, answerKind);
     }
 
-    /** A connection that was reset takes its answers with it: its callers have left, whoever they were. */
+    /** After a reset no answer can reach the callers, so all open exchanges of the connection are abandoned. */
     void onConnectionReset(StubConnection stub) {
-        LOG.log(System.Logger.Level.DEBUG, "a connection was reset with {0} exchanges open", stub.openByStream.size());
+        LOG.log(System.Logger.Level.DEBUG, "connection reset with {0} exchanges open", stub.openByStream.size());
         for (OpenExchange ex : registry.abandonExchanges(stub)) {
             controller.onCallerDisconnected(ex, clock.now());
-            registry.removeIfOver(ex);
+            registry.removeIfFinished(ex);
             decisionExecutor.onCallerDisconnected(ex);
         }
     }
 
+    /** Set after construction, as each of the two needs the other. */
     void setIdempotencyCache(IdempotencyCache idempotencyCache) {
         this.idempotencyCache = idempotencyCache;
     }
@@ -184,14 +198,14 @@
         onRunFinished(ex, outcome, runDuration, null);
     }
 
-    /** {@code answer} is null where there is no result. */
-    void onRunFinished(OpenExchange ex, Exchange.Outcome outcome, long runDuration, byte[] answer) {
+    /** {@code answerFrame} is null if the run has no result. */
+    void onRunFinished(OpenExchange ex, Exchange.Outcome outcome, long runDuration, byte[] answerFrame) {
         ex.runDuration = runDuration;
         controller.onRunEnded(ex, outcome, runDuration, clock.now());
         if (ex.isFinished()) {
-            idempotencyCache.onRunFinished(ex, answer);
+            idempotencyCache.onRunFinished(ex, answerFrame);
         }
-        registry.removeIfOver(ex);
+        registry.removeIfFinished(ex);
     }
 
     void updateGauges(double[] values) {
@@ -199,8 +213,8 @@
     }
 
     /**
-     * One look, with the last gauges known. Connections are counted here: the interpreter does not see those that
-     * are held open and carry nothing, which fill the table all the same.
+     * Runs one controller tick with the last known gauges. Connections are counted here, since the interpreter does not
+     * see those that are open and unused, though they fill the connection table as well.
      */
     void tick() {
         if (controller == null) {
@@ -227,12 +241,13 @@
         }
     }
 
+    /** The gauge at that position of the last row; 0 if the interpreter does not send it. */
     private double gauge(int index) {
         return index >= 0 && index < lastGauges.length ? lastGauges[index] : 0;
     }
 
-    /** The grace runs from {@code leftAt}, however late this is told or told again. */
-    void beginDrain(long stopAt, long drainNoticeAt) {
+    /** Starts the drain, or moves its stop; the grace period runs from {@code drainNoticeAt} in any case. */
+    void startDrain(long stopAt, long drainNoticeAt) {
         this.drainNoticeAt = drainNoticeAt;
         this.stopAt = stopAt;
         if (controller != null) {
@@ -241,6 +256,7 @@
         }
     }
 
+    /** Executes decisions until the controller has no further one. */
     void executeDecisions() {
         while (controller != null && controller.next(decisionExecutor)) {
             continue;
--- a/instance/src/main/java/vetchrill/routing/Clock.java
+++ b/instance/src/main/java/vetchrill/routing/Clock.java
@@ -3,29 +3,30 @@
 import java.util.function.LongSupplier;
 
 /**
- * Tenths of a millisecond of Unix time. The system's clock is read once at start and for the age of what arrives;
- * all else runs on from there, so that a step of the clock can't stop a timer or lose a due answer.
+ * Unix time in tenths of a millisecond, advanced by a monotonic clock. The system clock is read only at the start and
+ * to convert the arrival times of exchanges, so that a step of it can't stop a timer or lose an answer that is due.
  */
 public final class Clock {
+    /** A smaller deviation of the system clock is not taken for a step. */
     private static final long MIN_STEP_TENTHS_MS = 200;
 
     private final LongSupplier wall;
-    /** Null for the system's: read several times an exchange, and a call through an interface is never inlined. */
+    /** Null for {@link System#nanoTime}: it is read several times an exchange, and interface calls are not inlined. */
     private final LongSupplier nanos;
     private final long wallAtStart;
     private final long nanosAtStart;
-    /** By how much the system's clock is off this one, and was before that changed last. */
+    /** How far the system clock is ahead of this one, how far it was before its last step, and when that was seen. */
     private record WallOffset(long current, long previous, long changedAt) {
     }
 
     private volatile WallOffset wallOffset = new WallOffset(0, 0, Long.MIN_VALUE / 2);
 
-    /** The clocks of the system. */
+    /** Uses the clocks of the system. */
     public Clock() {
         this(Clock::systemWallTime, null);
     }
 
-    /** {@code wall} tells tenths of a millisecond of Unix time and may step; {@code nanos} never does. */
+    /** {@code wall} is Unix time in tenths of a millisecond and may step; {@code nanos} is monotonic. */
     public Clock(LongSupplier wall, LongSupplier nanos) {
         this.wall = wall;
         this.nanos = nanos;
@@ -33,6 +34,7 @@
         nanosAtStart = nanos();
     }
 
+    /** Unix time in tenths of a millisecond; never steps. */
     public long now() {
         return wallAtStart + (nanos() - nanosAtStart) / 100_000;
     }
@@ -42,24 +44,26 @@
     }
 
     /**
-     * What another process stamped, in Unix milliseconds, on this clock. Two readings a moment apart would swap
-     * exchanges that came together, so only a real step of the system's clock is taken off. What was on its way as the
-     * clock was stepped was stamped before that, and read by the new clock would be as much too old, or not be past the
-     * grace of a drain though it is: of the two it is taken for the later one that is not yet to come.
+     * Converts a timestamp that another process took from the system clock, in Unix milliseconds, to this clock; at
+     * most {@code maxAge} in the past and never in the future. The offset changes only on a real step of the system
+     * clock, since two readings a moment apart would reorder exchanges that arrived together. A timestamp taken just
+     * before a step but read after it would appear too old by the step, or would appear to be within the grace period
+     * of a drain when it is not. So after a step both offsets are tried, and the later time that is not in the future
+     * is used.
      */
     long fromWallMillis(long wallMillis, long maxAge) {
         long now = now();
         WallOffset offset = detectStep(now);
-        long byCurrentOffset = wallMillis * 10 - offset.current;
+        long time = wallMillis * 10 - offset.current;
         long byPreviousOffset = wallMillis * 10 - offset.previous;
         if (now - offset.changedAt <= maxAge && byPreviousOffset <= now + MIN_STEP_TENTHS_MS
-                && (byPreviousOffset > byCurrentOffset || byCurrentOffset > now + MIN_STEP_TENTHS_MS)) {
-            byCurrentOffset = byPreviousOffset;
+                && (byPreviousOffset > time || time > now + MIN_STEP_TENTHS_MS)) {
+            time = byPreviousOffset;
         }
-        return Math.max(now - maxAge, Math.min(now, byCurrentOffset));
+        return Math.max(now - maxAge, Math.min(now, time));
     }
 
-    /** Looks whether the system's clock has stepped: often enough that none of its steps is passed over. */
+    /** Checks for a step of the system clock; called on each tick so that no step is missed. */
     void detectStep() {
         detectStep(now());
     }
--- a/instance/src/main/java/vetchrill/routing/DecisionExecutor.java
+++ b/instance/src/main/java/vetchrill/routing/DecisionExecutor.java
@@ -3,7 +3,7 @@
 import vetchrill.control.Exchange;
 import vetchrill.control.Host;
 
-/** Carries out the module's decisions one by one: to the interpreter, to the stub, or into the book. */
+/** Carries out the controller's decisions one by one: towards the interpreter, the stub or the registry. */
 final class DecisionExecutor implements Host {
     private static final System.Logger LOG = System.getLogger("vetchrill.route");
 
@@ -47,8 +47,8 @@
     }
 
     /**
-     * Its caller has left: what is in doubt of it is asked after as if it were answered, or its slot is held for
-     * good.
+     * Queries the state of its run, if that is unknown, as for an answered exchange; without the query its slot would
+     * never be released.
      */
     void onCallerDisconnected(OpenExchange ex) {
         interpreterClient.scheduleRunQuery(ex);
@@ -56,8 +56,8 @@
 
     private void traceDecision(String decision, OpenExchange ex) {
         if (LOG.isLoggable(System.Logger.Level.DEBUG)) {
-            LOG.log(System.Logger.Level.DEBUG, "{0} {1} {2} after {3} ms", decision, ex.groupName, ex.id,
-                    (clock.now() - ex.arrivedAt) / 10);
+            LOG.log(System.Logger.Level.DEBUG, "decision {0}: group {1}, exchange {2}, {3} ms after its arrival",
+                    decision, ex.groupName, ex.id, (clock.now() - ex.arrivedAt) / 10);
         }
     }
 
@@ -85,33 +85,33 @@
 
     @Override
     public void storeDedupKey(Exchange ex, long timeToLive) {
-        idempotencyCache.remember((OpenExchange) ex, timeToLive);
+        idempotencyCache.storeKey((OpenExchange) ex, timeToLive);
     }
 
     @Override
     public void dropDedupKey(Exchange ex) {
-        idempotencyCache.forget((OpenExchange) ex);
+        idempotencyCache.dropKey((OpenExchange) ex);
     }
 
-    // The start refuses settings that would need one of these: the protocol has no words for them.
+    // The start rejects settings that would need one of the following, as the protocol does not support them.
 
     @Override
     public void interrupt(Exchange ex) {
-        throw new IllegalStateException("work can't be stopped here");
+        throw new IllegalStateException("the protocol does not support the interruption of runs");
     }
 
     @Override
-    public void call(Exchange ex, long until) {
-        throw new IllegalStateException("calls can't be made here");
+    public void call(Exchange ex, long deadline) {
+        throw new IllegalStateException("the protocol does not support calls");
     }
 
     @Override
     public void skipCall(Exchange ex) {
-        throw new IllegalStateException("calls can't be left out here");
+        throw new IllegalStateException("the protocol does not support calls, so none can be skipped");
     }
 
     @Override
-    public void publishLoadHint(double value) {
-        throw new IllegalStateException("no free value is sent here");
+    public void publishLoadHint(double hint) {
+        throw new IllegalStateException("the protocol does not support load hints");
     }
 }
--- a/instance/src/main/java/vetchrill/routing/DecisionThread.java
+++ b/instance/src/main/java/vetchrill/routing/DecisionThread.java
@@ -6,8 +6,12 @@
 import java.util.concurrent.TimeUnit;
 import vetchrill.transport.Limits;
 
-/** The one thread that owns the module, the open exchanges and the timers; its queue is its only way in. */
+/**
+ * Event loop of the one thread that owns the controller, the open exchanges and the timers. Other threads reach it only
+ * by posting a task to its queue.
+ */
 public final class DecisionThread {
+    /** {@code sequence} keeps timers that are due at the same time in the order in which they were set. */
     private record Timer(long dueAt, long sequence, Runnable action) {
     }
 
@@ -17,8 +21,9 @@
     private final Clock clock;
     private final Limits limits;
     private long timersScheduled;
-    /** Since the last summary: the longest that an input waited for its turn, and the most that waited. */
+    /** Longest iteration since the last summary: no task waited longer for its turn. */
     long longestIteration;
+    /** Most tasks in the queue since the last summary. */
     int maxQueueLength;
 
     public DecisionThread(Clock clock, Limits limits) {
@@ -27,7 +32,7 @@
         tasks = new ArrayBlockingQueue<>(limits.inputQueueCapacity);
     }
 
-    /** From any other thread; waits while the queue is full, which holds up the peer that is being read. */
+    /** From any other thread. Blocks while the queue is full, so that the peer being read is slowed down. */
     public void post(Runnable task) {
         try {
             tasks.put(task);
@@ -40,12 +45,12 @@
         return clock.now();
     }
 
-    /** On the decision thread only. */
+    /** Runs the action at that time; on the decision thread only. */
     void schedule(long dueAt, Runnable action) {
         timers.add(new Timer(dueAt, timersScheduled++, action));
     }
 
-    /** Runs for good; {@code decide} is called whenever something may have changed. */
+    /** Runs until interrupted; calls {@code decide} after each batch of tasks and timers. */
     public void run(Runnable decide) throws InterruptedException {
         while (true) {
             long wait = nextTimerDueAt() - clock.now();
@@ -53,17 +58,17 @@
         }
     }
 
-    /** When the next timer is due; Long.MAX_VALUE where there is none. */
+    /** When the next timer is due; Long.MAX_VALUE if there is none. */
     public long nextTimerDueAt() {
         return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().dueAt;
     }
 
-    /** Whether an input waits for its turn. */
+    /** Whether a task waits in the queue. */
     public boolean hasQueuedTasks() {
         return !tasks.isEmpty();
     }
 
-    /** One turn, without any wait, for whoever simulates the chain. */
+    /** One iteration without waiting, for a simulation of the chain. */
     public void runOnce(Runnable decide) {
         runOnce(tasks.poll(), decide);
     }
@@ -72,7 +77,7 @@
         Runnable task = first;
         long startedAt = clock.now();
         maxQueueLength = Math.max(maxQueueLength, tasks.size());
-        // All that waits is noted before anything is decided on it; the bound is against a flood.
+        // All queued tasks run before a decision is made on them; the bound keeps a flood from delaying decisions.
         for (int i = 0; task != null; i++) {
             task.run();
             task = i < limits.inputQueueCapacity ? tasks.poll() : null;
--- a/instance/src/main/java/vetchrill/routing/ExchangeRegistry.java
+++ b/instance/src/main/java/vetchrill/routing/ExchangeRegistry.java
@@ -11,21 +11,27 @@
 import vetchrill.protocol.Frames;
 import vetchrill.transport.Limits;
 
-/** Which exchanges and connections are open, which of these are idle, and the one answer of each exchange. */
+/**
+ * The open exchanges and stub connections of this instance. Sends each exchange its single final answer, closes idle
+ * connections and evicts the longest idle ones when the connection table is full. On the decision thread only.
+ */
 final class ExchangeRegistry {
     private final Limits limits;
     private final DecisionThread thread;
     private final AtomicLong openBodyBytes;
     private final Map<String, OpenExchange> exchangesById = new LinkedHashMap<>();
     private final Set<StubConnection> connections = new LinkedHashSet<>();
-    /** Closed by this side, the longest ago first, and not by their peers as far as is known. */
+    /** Connections closed by this side that their peers are not known to have closed, the earliest closed first. */
     private final Set<StubConnection> lingering = new LinkedHashSet<>();
-    /** That of the callers: some hold for good what they don't use any more. */
+    /** The callers' own idle time, applied here too since some callers never close connections they don't use. */
     private final long callerIdleTime;
+    /** The idle time that the controller allows a connection which has carried an exchange. */
     private long idleTime;
-    /** Null where nothing is recorded. */
+    /** Null when recording is off. */
     private final Recorder recorder;
+    /** All connections are being drained, new ones included. */
     private boolean connectionsDraining;
+    // Totals since the start.
     int completed;
     int denied;
     int terminated;
@@ -42,7 +48,7 @@
         this.openBodyBytes = openBodyBytes;
     }
 
-    /** {@code open} counts all connections of this moment. */
+    /** {@code connectionCount} is the current number of all connections. */
     void onConnectionOpened(StubConnection stub, int connectionCount) {
         connections.add(stub);
         evictIdleConnections(connectionCount);
@@ -53,13 +59,13 @@
         }
     }
 
-    /** Nothing more will be read; what is open may still be answered, as the peer may have shut one way only. */
+    /** The peer may have shut down its sending side only, so open exchanges are still answered. */
     void onReadEnd(StubConnection stub) {
         stub.readEnded = true;
         closeIfDrained(stub);
     }
 
-    /** Takes from the stub what it will never hear the answer of. */
+    /** Removes the exchanges whose answers can no longer reach the stub from its connection. */
     List<OpenExchange> abandonExchanges(StubConnection stub) {
         List<OpenExchange> abandoned = new ArrayList<>(stub.openByStream.values());
         for (OpenExchange ex : abandoned) {
@@ -79,7 +85,7 @@
         return exchangesById.get(id);
     }
 
-    /** It never came to be an exchange. */
+    /** Returns the bytes of its body to the common bound. */
     void releaseBody(OpenExchange ex) {
         openBodyBytes.addAndGet(-ex.body.length);
     }
@@ -90,7 +96,7 @@
         ex.stub.carriedExchange = true;
     }
 
-    /** {@code frame} was made where its stream was not known yet. */
+    /** {@code frame} was built where the stream was not known; its stream id is filled in here. */
     void complete(OpenExchange ex, byte[] frame, long now) {
         if (!ex.hasAnswer) {
             Frames.setStream(frame, ex.stream);
@@ -99,7 +105,7 @@
         }
     }
 
-    /** {@code away} in tenths of a millisecond, 0 for no advice. */
+    /** {@code retryAfter} in tenths of a millisecond, 0 for no advice. */
     void deny(OpenExchange ex, long retryAfter, boolean doNotRetry, long now) {
         if (!ex.hasAnswer) {
             denied++;
@@ -116,20 +122,20 @@
         }
     }
 
-    /** The exchange's one answer. */
+    /** Sends the single final answer of the exchange. */
     private void sendAnswer(OpenExchange ex, byte answerKind, byte[] frame, long now) {
         ex.hasAnswer = true;
         ex.answerKind = answerKind;
         ex.answeredAt = now;
         ex.stub.openByStream.remove(ex.stream);
         ex.stub.lastUsedAt = now;
-        removeIfOver(ex);
+        removeIfFinished(ex);
         ex.stub.connection.send(frame);
         closeIfDrained(ex.stub);
     }
 
-    /** Forgotten once it is answered and no word of a run can come any more. */
-    void removeIfOver(OpenExchange ex) {
+    /** Removes the exchange once it has its answer and nothing more can come from a run of it. */
+    void removeIfFinished(OpenExchange ex) {
         if (ex.hasAnswer && ex.isFinished() && exchangesById.remove(ex.id) != null) {
             releaseBody(ex);
             if (recorder != null) {
@@ -138,7 +144,7 @@
         }
     }
 
-    /** It was turned away before it came to be open. */
+    /** For an exchange that was answered before it was registered. */
     void closeUnregistered(OpenExchange ex, byte answerKind) {
         releaseBody(ex);
         if (recorder != null) {
@@ -176,7 +182,7 @@
         return new ArrayList<>(exchangesById.values());
     }
 
-    /** Begun and not over; asked for where looks are recorded only. */
+    /** Exchanges that have started and not finished; needed only when gauges are recorded. */
     int runningCount() {
         int count = 0;
         for (OpenExchange ex : exchangesById.values()) {
@@ -193,7 +199,7 @@
         return connections.size();
     }
 
-    /** Those that have carried something and may go on doing so: what the module is told as its connections. */
+    /** Connections that have carried an exchange and are not draining: the number that the controller uses. */
     int connectionsInUse() {
         int count = 0;
         for (StubConnection stub : connections) {
@@ -202,11 +208,14 @@
         return count;
     }
 
-    void setIdleTime(long span) {
-        idleTime = span;
+    void setIdleTime(long idleTime) {
+        this.idleTime = idleTime;
     }
 
-    /** Closes what is idle for longer than the module allows, the longest idle first; and what says nothing. */
+    /**
+     * Closes connections that have been idle for longer than the controller allows, the longest idle first, and those
+     * that have not sent a whole frame in time.
+     */
     void closeIdleConnections(long now) {
         List<StubConnection> idle = new ArrayList<>();
         for (StubConnection stub : connections) {
@@ -229,37 +238,39 @@
     }
 
     /**
-     * Whether more has come than was read as whole frames: a request in pieces, or one that this process had no time to
-     * read yet. One that never sent a whole frame is owed a close soon, so what lies unread is all that helps it.
+     * Whether bytes have arrived beyond the last whole frame: a request in pieces, or one that this process has not had
+     * time to read. A connection that never sent a whole frame has to be closed soon, so it gets only the short extra
+     * time that covers unread bytes.
      */
     private boolean isReceiving(StubConnection stub, long allowedIdleTime, long now) {
         long messageTime = stub.frameReceived ? limits.partialMessageTimeoutTenthsMs : limits.closeRaceWindowTenthsMs;
         return now - stub.lastUsedAt <= allowedIdleTime + messageTime && stub.connection.isReceiving();
     }
 
-    /** Told first, closed by the stub: what crosses the word on its way is answered and not lost. */
+    /** Asks the stub to close the connection: requests that cross this message are answered and not lost. */
     private void drainAndClose(StubConnection stub, long now) {
         drainConnections(stub);
         scheduleClose(now + limits.closeTimeoutTenthsMs, stub);
     }
 
-    /** For a stub that does not follow; one with something open, or half of it, has as long again. */
-    private void scheduleClose(long time, StubConnection stub) {
-        thread.schedule(time, () -> {
+    /** Closes it for a stub that does not; the time starts again while an exchange is open or partly received. */
+    private void scheduleClose(long dueAt, StubConnection stub) {
+        thread.schedule(dueAt, () -> {
             if (connections.contains(stub) && stub.isIdle() && !isReceiving(stub, limits.closeTimeoutTenthsMs,
                     thread.now())) {
                 closeConnection(stub);
             } else if (connections.contains(stub)) {
-                scheduleClose(time + limits.closeTimeoutTenthsMs, stub);
+                scheduleClose(dueAt + limits.closeTimeoutTenthsMs, stub);
             }
         });
     }
 
     /**
-     * With the table full the longest idle gives way, not whoever comes: a new connection brings an exchange, one
-     * that has long been idle may never bring another. One that is used again just now is not caught by it. It is told
-     * first; only where the next can't be let in otherwise it is closed at once, one that was told sooner.
-     * {@code open} are all connections of this moment, closed ones that linger among them.
+     * Evicts the longest idle connections when the table is full, rather than refusing new ones: a new connection
+     * brings an exchange, while one that has long been idle may never bring another. A connection that was used within
+     * the close race window is not evicted. The stub is asked to close first; a connection is closed at once only if
+     * the next one can't be accepted otherwise, and then those already asked go first. {@code connectionCount} is the
+     * current number of all connections, including closed ones that linger.
      */
     void evictIdleConnections(int connectionCount) {
         long now = thread.now();
@@ -269,40 +280,40 @@
             notDraining += stub.draining ? 0 : 1;
         }
         while (notDraining > limits.targetConnections) {
-            StubConnection longest = longestIdleConnection(usedBefore, false);
-            if (longest == null) {
+            StubConnection evictee = longestIdleConnection(usedBefore, false);
+            if (evictee == null) {
                 break;
             }
             notDraining--;
             evicted++;
-            if (longest.frameReceived) {
-                drainAndClose(longest, now);
+            if (evictee.frameReceived) {
+                drainAndClose(evictee, now);
             } else {
-                closeConnection(longest);
+                closeConnection(evictee);
             }
         }
         lingering.removeIf(stub -> stub.connection.isClosed());
         int freeSlots = limits.maxConnections - connectionCount;
         for (StubConnection stub : List.copyOf(lingering)) {
-            // A crowd would fill the table with what lingers, and keep others waiting for it.
+            // During a burst lingering connections would fill the table and keep new ones waiting.
             if (connectionCount > limits.targetConnections && stub.closedAt < usedBefore) {
                 stub.connection.abort();
                 lingering.remove(stub);
                 freeSlots++;
             }
         }
-        // What was closed gives its descriptor back only then, so a few more give way than there are to come just now.
+        // A descriptor becomes free only when the peer closes too, so a few more are evicted than needed right now.
         while (freeSlots < 1 && lingering.size() < limits.maxConcurrentEvictions) {
-            StubConnection longest = longestIdleConnection(usedBefore, true);
-            if (longest == null) {
+            StubConnection evictee = longestIdleConnection(usedBefore, true);
+            if (evictee == null) {
                 return;
             }
-            evicted += longest.draining ? 0 : 1;
-            closeConnection(longest);
+            evicted += evictee.draining ? 0 : 1;
+            closeConnection(evictee);
         }
     }
 
-    /** Those that were told come first where {@code told} ones are asked for. */
+    /** With {@code includeDraining}, connections that already drain are preferred. Null if none qualifies. */
     private StubConnection longestIdleConnection(long usedBefore, boolean includeDraining) {
         StubConnection longest = null;
         for (StubConnection stub : connections) {
@@ -323,7 +334,7 @@
         if (stub.frameReceived || stub.readEnded) {
             stub.connection.close();
         } else {
-            // It is owed nothing, and by hundreds those would cost what the others need.
+            // It has no answer to receive, and hundreds of lingering ones would cost what the others need.
             stub.connection.abort();
         }
         if (!stub.connection.isClosed()) {
@@ -332,19 +343,19 @@
         }
     }
 
-    /** A peer that never closes, or that does not read what it is owed, is not waited for for ever. */
-    private void scheduleAbort(long time, StubConnection stub) {
-        thread.schedule(time, () -> {
-            if (stub.connection.isHalfClosed() || time - stub.closedAt >= limits.slowReaderTimeoutTenthsMs) {
+    /** Bounds the wait for a peer that never closes its side or does not read its answers. */
+    private void scheduleAbort(long dueAt, StubConnection stub) {
+        thread.schedule(dueAt, () -> {
+            if (stub.connection.isHalfClosed() || dueAt - stub.closedAt >= limits.slowReaderTimeoutTenthsMs) {
                 stub.connection.abort();
                 lingering.remove(stub);
             } else {
-                scheduleAbort(time + limits.closeTimeoutTenthsMs, stub);
+                scheduleAbort(dueAt + limits.closeTimeoutTenthsMs, stub);
             }
         });
     }
 
-    /** From now on nothing new is taken on any connection. */
+    /** Tells all stubs, and those of later connections, that no new exchange is accepted on their connection. */
     void drainConnections() {
         connectionsDraining = true;
         for (StubConnection stub : connections) {
@@ -358,7 +369,7 @@
         }
     }
 
-    /** Whether every connection has been shown its end, so that nothing is left of what it is owed. */
+    /** Whether the end of the stream has been sent on every connection, and thus all answers before it. */
     boolean isAllFlushed() {
         return connections.stream().allMatch(stub -> stub.connection.isHalfClosed() || stub.connection.isClosed())
                 && lingering.stream().allMatch(stub -> stub.connection.isHalfClosed() || stub.connection.isClosed());
--- a/instance/src/main/java/vetchrill/routing/HealthReporter.java
+++ b/instance/src/main/java/vetchrill/routing/HealthReporter.java
@@ -8,7 +8,7 @@
 import vetchrill.transport.Limits;
 import vetchrill.transport.Resources;
 
-/** Health as health checks and the membership service hear it, from a thread of its own. */
+/** Holds the health that health checks get, and reports it to the membership service from a thread of its own. */
 final class HealthReporter {
     private static final System.Logger LOG = System.getLogger("vetchrill.membership");
 
@@ -18,9 +18,9 @@
     private volatile boolean healthy;
     private volatile boolean healthKnown;
     private boolean failing;
-    /** The address of this instance is free: a successor under the same name may report from now on. */
+    /** The listening address has been released, so a successor under the same name may report from now on. */
     private volatile boolean stopping;
-    /** What was taken last. */
+    /** The last report that the service accepted; null before the first. */
     private Boolean lastAcceptedReport;
 
     HealthReporter(HealthReportSink membership, Limits limits) {
@@ -32,14 +32,14 @@
         return healthy;
     }
 
-    /** On the decision thread; never waits. */
+    /** Takes over the controller's decision on health; on the decision thread, never blocks. */
     void onHealthDecision(boolean nowHealthy) {
         healthy = nowHealthy;
         healthKnown = true;
         healthChanges.add(nowHealthy);
     }
 
-    /** To another address from now on, and there at once: nothing lists this instance by what the old one heard. */
+    /** Changes the address of the service and reports there at once, since the new one does not list this instance. */
     void setAddress(InetSocketAddress address) {
         membership.moveTo(address);
         if (healthKnown) {
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Once it was taken that this instance takes no work, nothing more is said. */
+    /** Ends the reports once the service has accepted that this instance is out of service. */
     void stopAfterFinalReport() {
         stopping = true;
     }
@@ -78,13 +78,13 @@
         return stopping && !up && !failing && Boolean.FALSE.equals(lastAcceptedReport);
     }
 
-    /** One report of what was said last; how long to pause after it, 0 where nothing was said yet. */
+    /** Reports the last decision; returns how long to pause after it, 0 if there was no decision yet. */
     long reportNow() {
         healthChanges.clear();
         return healthKnown ? report(healthy) : 0;
     }
 
-    /** One report; how long to pause after it unless the health changes. */
+    /** Sends one report; returns how long to pause after it unless the health changes. */
     long report(boolean up) {
         String failure = null;
         try {
@@ -96,11 +96,11 @@
             failure = String.valueOf(e.getMessage());
         }
         if (failure != null && !failing) {
-            LOG.log(System.Logger.Level.WARNING, "reports to the membership service fail: {0}", failure);
+            LOG.log(System.Logger.Level.WARNING, "health reports to the membership service fail: {0}", failure);
         } else if (failure == null && failing) {
-            LOG.log(System.Logger.Level.INFO, "reports to the membership service are taken again");
+            LOG.log(System.Logger.Level.INFO, "health reports to the membership service succeed again");
         }
-        // One that was not answered may still arrive, after the one that was: the last word is said once more.
+        // A report without a response may still arrive after a later one, so the report after a failure is repeated.
         boolean repeatSoon = failing || failure != null;
         lastAcceptedReport = failure == null ? Boolean.valueOf(up) : lastAcceptedReport;
         failing = failure != null;
--- a/instance/src/main/java/vetchrill/routing/IdempotencyCache.java
+++ b/instance/src/main/java/vetchrill/routing/IdempotencyCache.java
@@ -10,19 +10,18 @@
 import vetchrill.transport.Limits;
 
 /**
- * Deduplicated exchanges that the module remembers, for their idempotency window: which try stands for each, its result
- * once there is one, and the repeats that wait for it. What is remembered, for how long, and which exchange is answered
- * from it the module decides.
+ * Keys of deduplicated exchanges for their idempotency window, each with the attempt that runs for it, its result once
+ * there is one, and the repeats that wait for the result. The controller decides which keys are stored, for how long,
+ * and which exchanges are answered from here.
  */
 final class IdempotencyCache {
     /**
-     * What tells two tries of one exchange from two exchanges. The body is part of it: whoever sends another under a
-     * key that it has seen is neither answered with a result that is not its own nor in the way of the one whose key it
-     * is.
+     * Identifies the attempts of one exchange. The body is part of it: a client that sends another body with a known
+     * token neither gets a result that is not its own nor blocks the exchange that the token belongs to.
      */
     record Key(int group, int customer, String token, long bodyDigest) {
-        Key(int group, int customer, String token, byte[] bodyDigest) {
-            this(group, customer, token, digest(bodyDigest));
+        Key(int group, int customer, String token, byte[] body) {
+            this(group, customer, token, digest(body));
         }
 
         private static long digest(byte[] body) {
@@ -35,12 +34,12 @@
         }
     }
 
-    /** One exchange that may come again. */
+    /** A stored key. */
     static final class Entry {
         private final long validUntil;
-        /** The try that stands for it; null once that is over. */
+        /** The attempt that runs for this key; null once it has finished. */
         private OpenExchange original;
-        /** The whole answer; null while there is none, where there is none to be given, and where there was no room. */
+        /** The whole answer; null before there is one, if the run had no result, and if it was dropped for space. */
         private byte[] answerFrame;
         private final List<OpenExchange> waitingRepeats = new ArrayList<>(0);
 
@@ -56,6 +55,7 @@
     private final AdmissionStage admission;
     private final Map<Key, Entry> entriesByKey = new HashMap<>();
     private final ArrayDeque<Entry> entriesWithAnswer = new ArrayDeque<>();
+    /** Total size of the stored answers. */
     private long answerBytes;
 
     IdempotencyCache(Limits limits, DecisionThread thread, ExchangeRegistry registry, AdmissionStage admission) {
@@ -65,7 +65,7 @@
         this.admission = admission;
     }
 
-    /** Tells the exchange what it repeats, if anything: by when it came, however late it was read. */
+    /** Links an exchange to the one that it repeats, if any. Its time of arrival counts, however late it is read. */
     void linkToOriginal(OpenExchange ex) {
         Entry entry = entriesByKey.get(ex.idempotencyKey);
         if (entry != null && ex.arrivedAt <= entry.validUntil) {
@@ -74,41 +74,47 @@
         }
     }
 
-    /** Whether one more could not be remembered; nothing that ran is forgotten for it. */
+    /** Whether no more keys can be stored; the key of an exchange that ran is never dropped to make room. */
     boolean isFull() {
         return entriesByKey.size() >= limits.maxStoredKeys;
     }
 
-    void remember(OpenExchange ex, long timeToLive) {
+    /** Stores the key of an exchange for {@code timeToLive} from now. */
+    void storeKey(OpenExchange ex, long timeToLive) {
         Key key = ex.idempotencyKey;
         Entry entry = new Entry(ex, thread.now() + timeToLive + limits.closeRaceWindowTenthsMs);
         ex.cacheEntry = entry;
         entriesByKey.put(key, entry);
-        // One that came in time may be read until its own due time, after which it is not run in any case.
+        // A repeat that arrived in time may be read until its own deadline; after that it is not run in any case.
         thread.schedule(entry.validUntil + ex.group.asyncTimeout, () -> {
             entriesByKey.remove(key, entry);
             dropAnswer(entry);
         });
     }
 
-    /** Nothing of it has run: whoever waited for it is told so by an error, and the next try is a fresh one. */
-    void forget(OpenExchange ex) {
+    /**
+     * For an exchange that has not run: repeats waiting for it get an error, and the next attempt is a new exchange.
+     */
+    void dropKey(OpenExchange ex) {
         if (ex.cacheEntry != null && entriesByKey.remove(ex.idempotencyKey, ex.cacheEntry)) {
             onRunFinished(ex, null);
         }
     }
 
+    /** Answers a repeat from the original, at once or when that has finished. */
     void replay(OpenExchange ex) {
         Entry entry = entriesByKey.get(ex.idempotencyKey);
         if (entry != null && entry.original != null) {
             entry.waitingRepeats.add(ex);
         } else {
-            // Not at once, as the module is in the middle of its decision on it.
+            // Deferred, as the controller has not finished its decision on this exchange.
             thread.schedule(thread.now(), () -> answerRepeat(ex, entry == null ? null : entry.answerFrame));
         }
     }
 
-    /** The run of an exchange is over; {@code answer} is null where it has no result. */
+    /**
+     * Stores the result of an original and answers its waiting repeats; {@code answerFrame} is null without a result.
+     */
     void onRunFinished(OpenExchange ex, byte[] answerFrame) {
         Entry entry = ex.cacheEntry;
         if (entry == null || entry.original != ex) {
@@ -129,7 +135,7 @@
         entry.waitingRepeats.clear();
     }
 
-    /** From now on its repeats get an error: they are not run again in any case. */
+    /** Drops a stored answer. Later repeats get an error; the exchange is not run again in any case. */
     private void dropAnswer(Entry entry) {
         if (entry.answerFrame != null) {
             answerBytes -= entry.answerFrame.length;
--- a/instance/src/main/java/vetchrill/routing/InterpreterClient.java
+++ b/instance/src/main/java/vetchrill/routing/InterpreterClient.java
@@ -6,7 +6,10 @@
 import vetchrill.transport.Connection;
 import vetchrill.transport.Limits;
 
-/** What goes to the interpreter: runs, looks at the gauges, and after a lost link what is still in doubt. */
+/**
+ * Sends commands to the interpreter: requests for runs, queries of its gauges and, after the link was lost, queries of
+ * runs whose state is unknown. Runs the periodic tick. On the decision thread only.
+ */
 final class InterpreterClient {
     private final Limits limits;
     private final DecisionThread thread;
@@ -15,15 +18,16 @@
     private final AdmissionStage admission;
     private Connection link;
     private int linkNumber;
-    /** Commands may go out: the banner of this link was read, and all notices kept for it. */
+    /** Commands may be sent: the banner of this link and all notices stored for it have been read. */
     private boolean reconciled;
-    /** The banner of this link was read, so that gauges may be asked for to settle it. */
+    /** The banner of this link has been read, so that gauges may be queried to reconcile it. */
     private boolean bannerReceived;
-    private long ticks;
-    /** The look whose gauges are waited for; 0 for none. */
+    private long tickCount;
+    /** The tick that waits for its gauges; 0 if none does. */
     private long pendingTick;
+    /** Ticks whose gauges did not come in time, since the start. */
     int ticksWithoutGauges;
-    /** Null where nothing is recorded. */
+    /** Null when recording is off. */
     private final Recorder recorder;
 
     InterpreterClient(Limits limits, DecisionThread thread, Clock clock, ExchangeRegistry registry,
@@ -38,7 +42,7 @@
 
     void onLinkOpened(Connection connection, long lastNoticeNumber) {
         if (link != null) {
-            // Replaced by a new one, which carries all that is told from now on.
+            // The new link replaces it.
             link.abort();
         }
         link = connection;
@@ -48,7 +52,7 @@
         connection.send(InterpreterLines.connect(lastNoticeNumber));
     }
 
-    /** Whether this is the link of now, and not one that it has replaced. */
+    /** Whether this is the current link and not one that was replaced. */
     boolean isCurrentLink(Connection connection) {
         return link == connection;
     }
@@ -58,7 +62,10 @@
         reconciled = false;
     }
 
-    /** All kept notices follow the banner; gauges asked for behind it come after the last of them. */
+    /**
+     * On a reconnect the banner is followed by all stored notices. The reply to a gauge query that is sent now comes
+     * after the last of them, which shows that all have been read.
+     */
     void onBanner(boolean firstBanner) {
         bannerReceived = true;
         if (firstBanner) {
@@ -68,6 +75,7 @@
         }
     }
 
+    /** Requests the run of a started exchange, now or once the link is reconciled. */
     void startRun(OpenExchange ex) {
         ex.started = true;
         if (reconciled) {
@@ -77,7 +85,7 @@
 
     private void requestRun(OpenExchange ex) {
         if (!ex.hasAnswer && !admission.mayStart(ex)) {
-            // What was asked for before may run: its answer is waited for, but nothing is started by asking again.
+            // A run that was requested before may go on: its end is awaited, but a new request must not start it.
             if (ex.requestedOnLink == 0) {
                 thread.schedule(clock.now(), () -> admission.onStartBlocked(ex));
             }
@@ -90,19 +98,19 @@
         boolean firstRequest = ex.requestedOnLink == 0;
         ex.requestedOnLink = linkNumber;
         byte[] command = InterpreterLines.apply(ex.id, ex.groupName, ex.body);
-        if (admission.updateLease() && !ex.hasAnswer) {
-            // What was asked for over another link may run: that this question is dropped proves nothing of it.
+        if (admission.isLeaseRequired() && !ex.hasAnswer) {
+            // A run requested over an earlier link may go on, so dropping this command does not prove that none does.
             link.send(command, () -> admission.mayStart(ex),
-                    firstRequest ? () -> thread.post(() -> admission.onStartBlocked(ex))
-                    : () -> { });
+                    firstRequest ? () -> thread.post(() -> admission.onStartBlocked(ex)) : () -> { });
         } else {
             link.send(command);
         }
     }
 
     /**
-     * An exchange that is answered can't be started any more: to ask again only tells whether it runs. Not at once,
-     * for a run that ended just now is no longer running, and the answer may be read later than the question.
+     * Queries, after a delay, whether an answered exchange still runs, if its run was requested over an earlier link.
+     * The query is a repeated request: an answered exchange can't be started any more, so it only tells whether it
+     * runs. The delay is for a run that has just ended and whose notice may be read after the query is sent.
      */
     void scheduleRunQuery(OpenExchange ex) {
         if (ex.started && !ex.isFinished() && ex.requestedOnLink != linkNumber) {
@@ -116,20 +124,21 @@
         }
     }
 
+    /** Closes idle connections and queries the gauges; the controller's tick follows with the reply or a timeout. */
     void tick() {
         clock.detectStep();
         registry.closeIdleConnections(clock.now());
-        long number = ++ticks;
-        pendingTick = number;
+        long tick = ++tickCount;
+        pendingTick = tick;
         if (reconciled) {
-            link.send(InterpreterLines.top(Long.toString(number)));
+            link.send(InterpreterLines.top(Long.toString(tick)));
         } else if (link != null && bannerReceived) {
-            // One question that stays without an answer must not keep the link unsettled for as long as it lasts.
+            // Sent on each tick, so that one query without a reply does not leave the link unreconciled for good.
             link.send(InterpreterLines.top("settle" + linkNumber));
         }
-        // Due answers hang on the look: it can't wait for an interpreter that is paused or gone.
+        // Answers that are due depend on the tick, so it can't wait for an interpreter that is paused or gone.
         thread.schedule(clock.now() + limits.gaugeTimeoutTenthsMs, () -> {
-            if (pendingTick == number) {
+            if (pendingTick == tick) {
                 pendingTick = 0;
                 ticksWithoutGauges++;
                 admission.tick();
@@ -148,8 +157,8 @@
     }
 
     /**
-     * After a lost link nobody knows whether the last runs asked for were heard. What may run twice is asked for
-     * again, which does nothing where it runs; what must not waits until its answer is given.
+     * After a lost link it is unknown whether the last requests for runs were read. Repeatable runs are requested
+     * again, which has no effect on a run that goes on; the others are queried only once they have their answer.
      */
     private void reconcile() {
         reconciled = true;
--- a/instance/src/main/java/vetchrill/routing/InterpreterMessageHandler.java
+++ b/instance/src/main/java/vetchrill/routing/InterpreterMessageHandler.java
@@ -6,7 +6,10 @@
 import vetchrill.protocol.InterpreterLines;
 import vetchrill.transport.Connection;
 
-/** What comes from the interpreter over one link: results go back unchanged. Read on the link's own thread. */
+/**
+ * Handles what the interpreter sends over one link, and relays results to the stubs unchanged. Called on the reader
+ * thread of the link; the work is posted to the decision thread.
+ */
 final class InterpreterMessageHandler implements InterpreterLines.Handler {
     private static final System.Logger LOG = System.getLogger("vetchrill.link");
 
@@ -19,24 +22,25 @@
     }
 
     @Override
-    public void onBanner(String state, long sinceStart) {
-        chain.thread.post(() -> chain.onBanner(link, state, sinceStart));
+    public void onBanner(String state, long interpreterAge) {
+        chain.thread.post(() -> chain.onBanner(link, state, interpreterAge));
     }
 
     @Override
     public void onValue(long number, String id, String runStatus, long runDuration, byte[] buf, int from, int to) {
-        // The one copy of the result: it must outlive the link's buffer, and its stream is not known here.
+        // The only copy of the result: it must outlive the link's buffer, and the stream is not known on this thread.
         byte[] answerFrame = runStatus.equals("good") ? Frames.completed(0, buf, from, to) : null;
-        chain.thread.post(() -> onRunEnd(number, id, runStatus, runDuration, answerFrame));
+        chain.thread.post(() -> onRunEnded(number, id, runStatus, runDuration, answerFrame));
     }
 
-    private void onRunEnd(long number, String id, String runStatus, long runDuration, byte[] answerFrame) {
+    private void onRunEnded(long number, String id, String runStatus, long runDuration, byte[] answerFrame) {
         if (!chain.isNewNotice(number)) {
             return;
         }
         OpenExchange ex = chain.registry.find(id);
         if (ex == null || !ex.started || ex.isFinished()) {
-            LOG.log(System.Logger.Level.DEBUG, "a run that is over already: {0} {1}", id, runStatus);
+            LOG.log(System.Logger.Level.DEBUG, "ignored the end of an unknown or finished run: exchange {0}, "
+                    + "status {1}", id, runStatus);
             return;
         }
         long now = chain.clock.now();
@@ -48,11 +52,11 @@
             default -> Outcome.CONNECTION_LOST;
         };
         if (LOG.isLoggable(System.Logger.Level.DEBUG)) {
-            LOG.log(System.Logger.Level.DEBUG, "over {0} {1} {2} after {3} ms, {4} ms on its run", runStatus,
-                    ex.groupName,
-                    id, (now - ex.arrivedAt) / 10, runDuration / 10);
+            LOG.log(System.Logger.Level.DEBUG, "run ended: status {0}, group {1}, exchange {2}, {3} ms after "
+                    + "its arrival, run time {4} ms", runStatus, ex.groupName, id, (now - ex.arrivedAt) / 10,
+                    runDuration / 10);
         }
-        // First its room is given back, then the answer goes out: the stub may send the next at once.
+        // The slot is released before the answer is sent, as the stub may send its next exchange at once.
         chain.admission.onRunFinished(ex, outcome, runDuration, answerFrame);
         if (!ex.hasAnswer && outcome != Outcome.PREEMPTED) {
             if (outcome == Outcome.COMPLETED) {
@@ -74,9 +78,9 @@
             String[] words = text.split(" ");
             OpenExchange ex = words.length > 2 ? chain.registry.find(words[2]) : null;
             if (ex == null) {
-                LOG.log(System.Logger.Level.WARNING, "the interpreter did not carry out: {0}", text);
+                LOG.log(System.Logger.Level.WARNING, "the interpreter rejected a command: {0}", text);
             } else if (ex.started && !ex.isFinished()) {
-                chain.admission.countViolation(ex, "the interpreter knows nothing of it: " + text);
+                chain.admission.countViolation(ex, "the interpreter rejected the exchange: " + text);
                 chain.admission.onRunFinished(ex, Outcome.NOT_STARTED, 0);
                 chain.registry.terminate(ex, chain.clock.now());
             }
--- a/instance/src/main/java/vetchrill/routing/OpenExchange.java
+++ b/instance/src/main/java/vetchrill/routing/OpenExchange.java
@@ -2,35 +2,40 @@
 
 import vetchrill.control.Exchange;
 
-/** An exchange between its arrival and the end of its run, with what the door needs to answer it. */
+/** An exchange from its arrival to the end of its run, with all that is needed to answer and record it. */
 final class OpenExchange extends Exchange {
     final String id;
     final String groupName;
     final StubConnection stub;
     final int stream;
-    /** The only part of its frame that outlives the buffer. */
+    /** A copy: the frame itself is gone when the reader's buffer is reused. */
     final byte[] body;
     int groupIndex;
-    /** The number that its stub goes by, and what stands for its subject where this is recorded. */
+    /** The number by which its stub identifies itself. */
     long stubNumber;
+
+    // For the recorder only.
+    /** What {@link Recorder#subject} returned for its subject; 0 if it names none. */
     long subject;
-    /** What is recorded of it: when the decision thread heard of it, began it and answered it, and its run. */
+    /** When the decision thread received it. */
     long dequeuedAt;
+    /** When the controller started it; 0 before. */
     long startedAt;
     long answeredAt;
     long runDuration;
     byte answerKind;
     long retryAfter;
     boolean doNotRetry;
-    /** By which a further try is known as one; null where tries are not told apart. */
+
+    /** Identifies the attempts of one exchange; null if its group is not deduplicated. */
     IdempotencyCache.Key idempotencyKey;
-    /** It stands for all its tries. */
+    /** The stored key for which this attempt runs; null if there is none. */
     IdempotencyCache.Entry cacheEntry;
-    /** It has its one final answer. */
+    /** It has its single final answer, or was abandoned as its connection was reset. */
     boolean hasAnswer;
-    /** The module has begun it. */
+    /** The controller has started it. */
     boolean started;
-    /** The link on which its run was asked for; 0 while that was not possible. */
+    /** Number of the link over which its run was last requested; 0 if it has not been requested. */
     int requestedOnLink;
 
     OpenExchange(String id, String groupName, StubConnection stub, int stream, byte[] body) {
--- a/instance/src/main/java/vetchrill/routing/ProcessingChain.java
+++ b/instance/src/main/java/vetchrill/routing/ProcessingChain.java
@@ -7,17 +7,22 @@
 import vetchrill.control.EndpointGroup;
 import vetchrill.protocol.DeploymentReader;
 import vetchrill.protocol.FrameReader;
-import vetchrill.protocol.InterpreterLines;
 import vetchrill.protocol.HealthReportSink;
+import vetchrill.protocol.InterpreterLines;
 import vetchrill.transport.Connection;
+import vetchrill.transport.DuplexChannel;
 import vetchrill.transport.InterpreterLink;
 import vetchrill.transport.IoTask;
 import vetchrill.transport.Limits;
-import vetchrill.transport.DuplexChannel;
 import vetchrill.transport.Resources;
 import vetchrill.transport.WorkerPool;
 
-/** Puts the units of the chain together, and tells them of links, notices and the end. */
+/**
+ * Assembles the stages that an exchange passes: {@link StubFrameHandler} reads it, {@link AdmissionStage} hands it to
+ * the controller, {@link DecisionExecutor} carries out the decision, {@link InterpreterClient} requests the run,
+ * {@link InterpreterMessageHandler} relays the result and {@link ExchangeRegistry} tracks all that is open. Notifies
+ * the stages of new links, interpreter notices and the drain.
+ */
 public final class ProcessingChain {
     private static final System.Logger LOG = System.getLogger("vetchrill.chain");
 
@@ -37,11 +42,11 @@
     private final AtomicLong unsentBytes = new AtomicLong();
     final AtomicLong openBodyBytes = new AtomicLong();
     private final RateLimitedLog peerLog;
-    /** Null where nothing is recorded. */
+    /** Null when recording is off. */
     private final Recorder recorder;
     private long lastNoticeNumber;
     private long connectionsClosedAt;
-    /** No more connections are wanted: whoever waits to let one in does not go on waiting. */
+    /** The listener is about to close, so accepting does not wait for a free slot any more. */
     private volatile boolean stopping;
 
     public ProcessingChain(DeploymentReader settings, long seed, Clock clock, DecisionThread thread,
@@ -51,7 +56,7 @@
                 new WorkerPool("writer", limits.minIdleWriters, limits));
     }
 
-    /** The same with whoever gives its jobs their threads. */
+    /** The same with other executors for its I/O tasks. */
     public ProcessingChain(DeploymentReader settings, long seed, Clock clock, DecisionThread thread,
             HealthReportSink membership, Limits limits, Recorder recorder, IoTask.Executor readers,
             IoTask.Executor writers) {
@@ -73,15 +78,16 @@
                 idempotencyCache);
     }
 
+    /** Connects to the interpreter and starts the health reports. */
     public void start(InetSocketAddress interpreter) {
         prepare(interpreter, InterpreterLink.Dialer::dialSocket);
         healthReporter.start();
         link.start();
     }
 
-    /** All of the start but its threads: who keeps the link and the reports going is up to the caller. */
-    public InterpreterLink prepare(InetSocketAddress interpreter, InterpreterLink.Dialer dial) {
-        link = new InterpreterLink(interpreter, limits, dial, readers, writers, connection -> {
+    /** Does all of the start but its threads: the caller runs the link and the health reports. */
+    public InterpreterLink prepare(InetSocketAddress interpreter, InterpreterLink.Dialer dialer) {
+        link = new InterpreterLink(interpreter, limits, dialer, readers, writers, connection -> {
             thread.post(() -> interpreterClient.onLinkOpened(connection, lastNoticeNumber));
             return new InterpreterLines(limits, new InterpreterMessageHandler(this, connection));
         });
@@ -89,15 +95,15 @@
         return link;
     }
 
-    /** Another configuration: both services are spoken to at other addresses, all that is open goes on. */
+    /** Applies the service addresses of a reloaded configuration; open exchanges are not affected. */
     public void updateAddresses(InetSocketAddress interpreter, InetSocketAddress membership) {
         link.move(interpreter);
         healthReporter.setAddress(membership);
     }
 
     /**
-     * What arrives from one point on is decided by that version: by its groups, told anew. What came before
-     * stays with the version of then. On any thread.
+     * Applies a version, with its settings of the endpoint groups, to all exchanges that arrive from now on; earlier
+     * ones keep the version of their arrival. On any thread.
      */
     public void activateVersion(long version, DeploymentReader newSettings) {
         List<EndpointGroup> groups = settings.reloadedGroups(newSettings);
@@ -105,72 +111,76 @@
     }
 
     /**
-     * Nothing of a version under the floor is begun any more, and nothing at all from {@code until} on, by the chain's
-     * clock. On any thread.
+     * Starts no exchange of a version below {@code minVersion} any more, and none at all from {@code leaseUntil} on, by
+     * the chain's clock. On any thread.
      */
-    public void updateLease(long minVersion, long until) {
-        thread.post(() -> admission.updateLease(minVersion, until));
+    public void updateLease(long minVersion, long leaseUntil) {
+        thread.post(() -> admission.updateLease(minVersion, leaseUntil));
     }
 
-    /** One report of health, for whoever simulates the chain; how long to pause after it. */
+    /** Sends one health report, for a simulation of the chain; returns how long to pause after it. */
     public long reportHealth() {
         return healthReporter.reportNow();
     }
 
+    /** Executes all decisions that are due; on the decision thread. */
     public void executeDecisions() {
         admission.executeDecisions();
     }
 
-    /** On the listener's thread. */
-    public void onAccepted(DuplexChannel pipe) {
+    /** Takes over an accepted connection, after waiting for a free slot; on the listener's thread. */
+    public void onAccepted(DuplexChannel channel) {
         for (int attempt = 0; isFull(attempt) && !stopping; attempt++) {
-            // The next ones wait unaccepted, which costs nothing here, until what is idle has given way.
+            // Further connections wait in the backlog, which costs nothing here, until idle ones have been evicted.
             thread.post(() -> registry.evictIdleConnections(openConnections.get()));
             Resources.sleep(limits.makeRoomPollTenthsMs);
         }
         int connectionCount = openConnections.incrementAndGet();
-        Connection connection = new Connection(pipe, limits, readers, writers, unsentBytes,
+        Connection connection = new Connection(channel, limits, readers, writers, unsentBytes,
                 openConnections::decrementAndGet);
         StubConnection stub = new StubConnection(connection, clock.now());
         thread.post(() -> registry.onConnectionOpened(stub, connectionCount));
         StubFrameHandler frameHandler = new StubFrameHandler(settings, limits, thread, clock, stub, admission, registry,
-                healthReporter, openBodyBytes, peerLog,
-                recorder);
+                healthReporter, openBodyBytes, peerLog, recorder);
         connection.start(new FrameReader(limits, frameHandler), limits.maxBufferedFrameBytes);
     }
 
-    /** Closing it would lose what it brings: after a while it is taken past the limit, where descriptors are left. */
+    /**
+     * Whether the connection table is full. Closing the connection would lose its request, so after some attempts it is
+     * accepted beyond the limit, as far as descriptors are left.
+     */
     private boolean isFull(int attempt) {
         int connectionCount = openConnections.get();
         return connectionCount
                 >= (attempt < limits.maxMakeRoomAttempts ? limits.maxConnections : limits.hardMaxConnections);
     }
 
-    /** False for a notice that was read before, over this link or the one that it replaced. */
+    /** Records the notice number; false if it was read before, over this link or the one that it replaced. */
     boolean isNewNotice(long number) {
         if (number <= lastNoticeNumber) {
             return false;
         }
         if (number > lastNoticeNumber + 1) {
-            LOG.log(System.Logger.Level.ERROR, "notices {0} to {1} never came", lastNoticeNumber + 1, number - 1);
+            LOG.log(System.Logger.Level.ERROR, "interpreter notices {0} to {1} were not received",
+                    lastNoticeNumber + 1, number - 1);
         }
         lastNoticeNumber = number;
         return true;
     }
 
-    void onBanner(Connection link, String state, long sinceStart) {
+    void onBanner(Connection link, String state, long interpreterAge) {
         if (!interpreterClient.isCurrentLink(link)) {
             return;
         }
-        boolean first = !admission.isReady();
-        LOG.log(System.Logger.Level.INFO, "the interpreter is up: {0}, started {1} ms ago; {2} exchanges open", state,
-                sinceStart / 10, registry.openCount());
-        if (first) {
-            // It may have come up long after this process, and the cores warm up from its start on.
+        boolean firstBanner = !admission.isReady();
+        LOG.log(System.Logger.Level.INFO, "the interpreter is up: state {0}, started {1} ms ago; {2} exchanges open",
+                state, interpreterAge / 10, registry.openCount());
+        if (firstBanner) {
+            // It may have started long after this process, and the cores warm up from the interpreter's start.
             settings.deployment.startsCold |= state.equals("new");
-            admission.onInterpreterUp(decisionExecutor, clock.now() - sinceStart);
+            admission.onInterpreterUp(decisionExecutor, clock.now() - interpreterAge);
         }
-        interpreterClient.onBanner(first);
+        interpreterClient.onBanner(firstBanner);
     }
 
     void onLinkLost(Connection link, String reason) {
@@ -180,39 +190,40 @@
         }
     }
 
-    /** The notice to leave, which came at {@code leftAt}, or word of an earlier stop; on any thread. */
+    /** Starts the drain that was requested at {@code drainNoticeAt}, or moves its stop forward; on any thread. */
     public void beginDrain(long stopAt, long drainNoticeAt) {
         thread.post(() -> {
             LOG.log(System.Logger.Level.INFO, "drain: {0} exchanges open on {1} connections, stop in {2} ms",
                     registry.openCount(), registry.connectionCount(), (stopAt - clock.now()) / 10);
-            admission.beginDrain(stopAt, drainNoticeAt);
+            admission.startDrain(stopAt, drainNoticeAt);
         });
     }
 
-    /** Whoever waits for room to let one more in lets it in or gives up: the listener is about to be closed. */
+    /** Ends the wait for a free slot in {@link #onAccepted}, as the listener is about to be closed. */
     public void stopWaitingForSlots() {
         stopping = true;
     }
 
-    /** The listener is closed. */
+    /** After the listener has closed: tells all stubs that no new exchange is accepted. */
     public void drainConnections() {
         healthReporter.stopAfterFinalReport();
         thread.post(registry::drainConnections);
     }
 
+    /** Sends the answers that are due and closes all connections; at the stop. */
     public void closeAllConnections() {
         thread.post(() -> {
-            // On a crowded core the look before the stop may come after this: what is still owed goes out first.
+            // On a busy core the last tick before the stop may run after this, so the answers due are sent first.
             admission.tick();
             admission.executeDecisions();
-            LOG.log(System.Logger.Level.INFO, "drained: completed {0} denied {1} terminated {2}; {3} runs go on",
+            LOG.log(System.Logger.Level.INFO, "drained: completed {0} denied {1} terminated {2}; {3} runs unfinished",
                     registry.completed, registry.denied, registry.terminated, registry.openCount());
             registry.closeAllConnections();
             connectionsClosedAt = clock.now();
         });
     }
 
-    /** Runs {@code over}, on the decision thread, once all that was owed is written or no time is left for it. */
+    /** Runs {@code onFinished}, on the decision thread, once all answers are written or no time is left for them. */
     public void finish(Runnable onFinished) {
         thread.post(() -> finishWhenFlushed(onFinished));
     }
@@ -227,12 +238,12 @@
     }
 
     private void logSummary() {
-        LOG.log(System.Logger.Level.INFO, "completed {0} denied {1} terminated {2}; open {3} on {4} connections, "
-                + "{5} closed idle, {6} to make room, {7} lines left out; oldest arrival {8} ms, longest round {9} ms, "
-                + "{10} inputs waiting, {11} looks without gauges",
+        LOG.log(System.Logger.Level.INFO, "summary: completed {0} denied {1} terminated {2}; {3} exchanges open "
+                + "on {4} connections; {5} connections closed idle, {6} evicted; {7} log lines suppressed; "
+                + "oldest arrival {8} ms, longest iteration {9} ms, longest queue {10}, {11} ticks without gauges",
                 registry.completed, registry.denied, registry.terminated, registry.openCount(),
-                registry.connectionCount(), registry.closedIdle,
-                registry.evicted, peerLog.resetAndCountSuppressed(), admission.maxArrivalAge / 10,
+                registry.connectionCount(), registry.closedIdle, registry.evicted,
+                peerLog.resetAndCountSuppressed(), admission.maxArrivalAge / 10,
                 thread.longestIteration / 10, thread.maxQueueLength, interpreterClient.ticksWithoutGauges);
         admission.maxArrivalAge = 0;
         thread.longestIteration = 0;
--- a/instance/src/main/java/vetchrill/routing/RateLimitedLog.java
+++ b/instance/src/main/java/vetchrill/routing/RateLimitedLog.java
@@ -3,7 +3,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import vetchrill.transport.Limits;
 
-/** Log lines on what peers do: so many between two summaries, the rest only counted, as peers must not fill the log. */
+/**
+ * Logs what peers do wrong, with a bounded number of lines between two summaries so that peers can't fill the log;
+ * further lines are only counted.
+ */
 final class RateLimitedLog {
     private final Limits limits;
     private final AtomicInteger remaining;
@@ -13,14 +16,14 @@
         remaining = new AtomicInteger(limits.maxPeerLogLines);
     }
 
-    /** On any thread. */
+    /** Logs a warning or counts it as suppressed. On any thread. */
     void warn(System.Logger log, String format, Object value) {
         if (remaining.decrementAndGet() >= 0) {
             log.log(System.Logger.Level.WARNING, format, value);
         }
     }
 
-    /** Starts anew; how many were left out. */
+    /** Allows the full number of lines again; returns how many were suppressed since the last call. */
     int resetAndCountSuppressed() {
         return Math.max(0, -remaining.getAndSet(limits.maxPeerLogLines));
     }
--- a/instance/src/main/java/vetchrill/routing/Recorder.java
+++ b/instance/src/main/java/vetchrill/routing/Recorder.java
@@ -1,43 +1,46 @@
 package vetchrill.routing;
 
 /**
- * Who writes down what an instance does, where an operator has asked for it. The decision thread claims a row, fills it
- * and puts it: neither ever waits, and a row that there is no room for is counted by the recorder and left out.
+ * Records what an instance does, if its operator has enabled this. The decision thread claims a row, fills it and puts
+ * it; neither call ever blocks, and a row for which there is no space is dropped and counted by the recorder.
  */
 public interface Recorder {
-    /** How an exchange was answered. */
+    // Kinds of answers.
     byte COMPLETED = 1;
     byte DENIED = 2;
     byte TERMINATED = 3;
-    /** Its connection was reset, so that no answer could reach its caller. */
+    /** The connection was reset, so that no answer could reach the caller. */
     byte DISCONNECTED = 4;
 
-    /** One exchange, written down when it is answered and nothing of it runs any more. Times as on {@link Clock}. */
+    /** One exchange, recorded once it is answered and its run has ended. Times as on {@link Clock}. */
     final class ExchangeRow {
-        /** As its stub names it, and the version by which it was decided. */
+        /** The id that its stub gave it. */
         public long id;
+        /** The version that was active on its arrival. */
         public long version;
         public long arrivedAt;
-        /** When it came to the decision thread: what lies between is its reading. */
+        /** When the decision thread received it; the time since its arrival was spent on reading and queueing. */
         public long dequeuedAt;
         public int group;
         public int customer;
-        /** The number that its stub goes by. */
+        /** The number by which its stub identifies itself. */
         public long stubNumber;
-        /** What {@link Recorder#subject} made of its subject; 0 where it names none. */
+        /** What {@link Recorder#subject} returned for its subject; 0 if it names none. */
         public long subject;
         public float kb;
         public int bytes;
-        /** When its run was begun; 0 where it never ran. */
+        /** When its run was started; 0 if it never ran. */
         public long startedAt;
-        /** How long its run took by the interpreter's word, in tenths of a millisecond. */
+        /** Duration of its run as reported by the interpreter, in tenths of a millisecond. */
         public long runDuration;
         public long answeredAt;
         public byte answerKind;
-        /** The advice that went with a denial: tenths of a millisecond to stay away, 0 for none. */
+        /** The retry-after delay sent with a denial, in tenths of a millisecond; 0 for none. */
         public long retryAfter;
+        /** The denial told the stub not to retry. */
         public boolean doNotRetry;
 
+        /** Sets all fields to those of {@code other}. */
         public void copyFrom(ExchangeRow other) {
             id = other.id;
             version = other.version;
@@ -58,7 +61,7 @@
         }
     }
 
-    /** One look at the gauges. */
+    /** The gauges at one tick. */
     final class GaugeRow {
         public long sampledAt;
         public float cpu;
@@ -66,31 +69,33 @@
         public float memory;
         public int connections;
         public int open;
-        /** Of those open, how many run. */
+        /** How many of the open exchanges run. */
         public int running;
     }
 
-    /** On any reader's thread: a number that stands for the subject in the slice, never 0. */
+    /** Returns a number, never 0, that stands for the subject in the slice. On any reader's thread. */
     long subject(byte[] buf, int from, int to);
 
-    /** On the decision thread; null where there is no room. */
+    /** Returns a row to fill, or null if there is no space. On the decision thread. */
     ExchangeRow claimExchangeRow();
 
+    /** Hands in a claimed row. */
     void put(ExchangeRow row);
 
-    /** On the decision thread: a run of it is asked for, for the first time. */
+    /** The run of an exchange is requested for the first time. On the decision thread. */
     default void runRequested(long id, long version, int group, int customer, long at) {
     }
 
-    /** On the decision thread: what arrives from now on is decided by this version. */
+    /** The version applies to all exchanges that arrive from now on. On the decision thread. */
     default void versionActivated(long version) {
     }
 
-    /** On the decision thread; null where there is no room. */
+    /** Returns a row to fill, or null if there is no space. On the decision thread. */
     GaugeRow claimGaugeRow();
 
+    /** Hands in a claimed row. */
     void put(GaugeRow row);
 
-    /** At the end of the drain, on the main thread: what was put is written. */
+    /** Writes all rows that were put. At the end of the drain, on the main thread. */
     void close();
 }
--- a/instance/src/main/java/vetchrill/routing/StubConnection.java
+++ b/instance/src/main/java/vetchrill/routing/StubConnection.java
@@ -5,25 +5,25 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import vetchrill.transport.Connection;
 
-/** One connection of a client stub, as the decision thread knows it. */
+/** State of one connection of a client stub. Owned by the decision thread, except for what is atomic or volatile. */
 final class StubConnection {
     final Connection connection;
     final Map<Integer, OpenExchange> openByStream = new LinkedHashMap<>();
-    /** Exchanges that were read from it and have not come to the decision thread. */
+    /** Exchanges that were read from it and still wait for the decision thread. */
     final AtomicInteger queuedArrivals = new AtomicInteger();
-    /** What it did that no stub does; past a few of them nothing more is read from it. */
+    /** Input that no correct stub sends; after a few of these nothing more is read from it. */
     final AtomicInteger violations = new AtomicInteger();
-    /** When the last whole frame was read or the last answer given; its accept before either. */
+    /** When the last whole frame was read or the last answer sent; at first, when it was accepted. */
     volatile long lastUsedAt;
-    /** A whole frame has come. */
+    /** A whole frame has been received. */
     volatile boolean frameReceived;
-    /** It carried an exchange; one for health checks is idle between any two of them. */
+    /** It has carried an exchange; connections for health checks have not, and are idle between checks. */
     boolean carriedExchange;
-    /** It was told that nothing new is taken. */
+    /** Its stub was told that no new exchange is accepted on it. */
     boolean draining;
     /** Nothing more is read from it. */
     boolean readEnded;
-    /** Closed by this side: what still arrives is not to be run, as its stub sends it elsewhere. */
+    /** Closed by this side. What still arrives must not run, since the stub sends it elsewhere. */
     boolean closed;
     long closedAt;
 
@@ -32,12 +32,13 @@
         lastUsedAt = now;
     }
 
-    /** On the reader's thread: a whole frame has come. */
+    /** A whole frame was received. On the reader's thread. */
     void onFrame(long now) {
         lastUsedAt = now;
         frameReceived = true;
     }
 
+    /** Whether no exchange is open or on its way to the decision thread. */
     boolean isIdle() {
         return openByStream.isEmpty() && queuedArrivals.get() == 0;
     }
--- a/instance/src/main/java/vetchrill/routing/StubFrameHandler.java
+++ b/instance/src/main/java/vetchrill/routing/StubFrameHandler.java
@@ -9,7 +9,10 @@
 import vetchrill.protocol.Frames;
 import vetchrill.transport.Limits;
 
-/** From frame to exchange, on the reader's thread of one connection: what can't be one is answered here. */
+/**
+ * Decodes the frames of one stub connection to exchanges. Health checks and malformed frames are answered here, on the
+ * reader's thread of the connection.
+ */
 final class StubFrameHandler implements FrameReader.Handler {
     private static final System.Logger LOG = System.getLogger("vetchrill.stub");
     private static final int RID_HEX_DIGITS = 16;
@@ -26,14 +29,13 @@
     private final HealthReporter healthReporter;
     private final AtomicLong openBodyBytes;
     private final RateLimitedLog peerLog;
-    /** Null where nothing is recorded. */
+    /** Null when recording is off. */
     private final Recorder recorder;
     private final Fields fields = new Fields();
 
     StubFrameHandler(DeploymentReader settings, Limits limits, DecisionThread thread, Clock clock, StubConnection stub,
-            AdmissionStage admission,
-            ExchangeRegistry registry, HealthReporter healthReporter, AtomicLong openBodyBytes, RateLimitedLog peerLog,
-            Recorder recorder) {
+            AdmissionStage admission, ExchangeRegistry registry, HealthReporter healthReporter,
+            AtomicLong openBodyBytes, RateLimitedLog peerLog, Recorder recorder) {
         this.settings = settings;
         this.limits = limits;
         this.thread = thread;
@@ -52,7 +54,7 @@
         String error = fields.parse(buf, from, to);
         stub.onFrame(clock.now());
         if (type == Frames.HEALTH_CHECK) {
-            // Answered from here, so that checks are heard while the decision thread is busy denying.
+            // Answered on this thread, so that checks get their answers while the decision thread is busy denying.
             stub.connection.send(Frames.healthCheckAnswer(stream, error == null && healthReporter.isHealthy()));
             return true;
         }
@@ -66,58 +68,60 @@
     }
 
     /**
-     * A stub of another version may err now and then and keeps its connection; one that does nothing else would
-     * cost a share of the one core for as long as it likes. What it has open is answered before it is closed.
+     * Whether to read on. A stub of another version may send a malformed frame now and then and keeps its connection;
+     * one that sends nothing else would take a share of the single core without end. Its open exchanges are answered
+     * before the connection is closed.
      */
     private boolean keepsReading() {
         return stub.violations.get() < limits.maxInvalidFrames;
     }
 
+    /** Posts the exchange to the decision thread; returns what is wrong with the frame, or null. */
     private String decodeExchange(int stream, byte[] buf, int to) {
         int groupIndex = fields.indexIn("method", settings.groupNames);
         if (groupIndex < 0) {
-            return "no known method";
+            return "method is missing or unknown";
         }
         String id = fields.text("rid");
         if (id == null || id.length() != RID_HEX_DIGITS || !isHex(id)) {
-            return "no rid of 16 hex digits";
+            return "rid is not 16 hexadecimal digits";
         }
         long arrivalWallMillis = fields.wholeNumber("t0");
         if (arrivalWallMillis < 0) {
-            return "no t0";
+            return "t0 is missing or not a whole number";
         }
         int customer = settings.customerNames.isEmpty() ? 0 : fields.indexIn("acct", settings.customerNames);
         if (customer < 0) {
-            return "no known acct";
+            return "acct is missing or unknown";
         }
         double kb = fields.number("mem");
         if (!(kb > 0 && kb < EXCHANGE_MEMORY_BOUND_KB)) {
-            return "no mem within its range";
+            return "mem is missing or out of range";
         }
         double priority = fields.number("prio");
         if (!(priority >= 0 && priority < 1)) {
-            return "no prio within its range";
+            return "prio is missing or out of range";
         }
         long stubNumber = fields.wholeNumber("peer");
         if (stubNumber < 0) {
-            return "no peer";
+            return "peer is missing or not a whole number";
         }
         String token = null;
         if (settings.deployment.groups.get(groupIndex).effect == EndpointGroup.Effect.DEDUPLICATED) {
             token = fields.text("token");
             if (token == null || token.isEmpty() || token.length() > MAX_TOKEN_LENGTH) {
-                return "no token by which it is known again";
+                return "token is missing, empty or too long";
             }
         }
         if (stream == 0) {
-            return "an exchange on stream 0";
+            return "exchange on stream 0";
         }
         if (to - fields.bodyOffset() > limits.maxBodyBytes) {
-            return "a body of " + (to - fields.bodyOffset()) + " bytes";
+            return "body too long: " + (to - fields.bodyOffset()) + " bytes";
         }
         if (openBodyBytes.addAndGet(to - fields.bodyOffset()) > limits.maxTotalBodyBytes) {
             openBodyBytes.addAndGet(fields.bodyOffset() - to);
-            // An earlier try of it may have run, which a denial would say is not so.
+            // An earlier attempt may have run, and a denial would promise that none did.
             stub.connection.send(token == null ? Frames.denied(stream, 0, false) : Frames.terminated(stream));
             return null;
         }
@@ -138,7 +142,9 @@
         return null;
     }
 
-    /** Digits of other scripts are none: the interpreter would not know the id, and may hang up on the line. */
+    /**
+     * ASCII digits only: the interpreter would not know an id in other scripts, and may close the link over the line.
+     */
     private static boolean isHex(String id) {
         for (int i = 0; i < id.length(); i++) {
             if (id.charAt(i) > 'f' || Character.digit(id.charAt(i), 16) < 0) {
@@ -152,11 +158,12 @@
     public boolean onOversizedFrame(int type, int stream) {
         stub.onFrame(clock.now());
         if (type == Frames.EXCHANGE) {
-            rejectMalformed(stream, "a frame far beyond what an exchange needs");
+            rejectMalformed(stream, "frame is longer than any exchange needs");
         }
         return keepsReading();
     }
 
+    /** Answers a frame that is no valid exchange with an error on its stream. */
     private void rejectMalformed(int stream, String error) {
         countViolation(error);
         stub.connection.send(Frames.terminated(stream));
@@ -168,10 +175,10 @@
         stub.connection.send(Frames.terminated(0));
     }
 
-    /** Once for each connection. */
+    /** Logs the first violation of each connection only. */
     private void countViolation(String violation) {
         if (stub.violations.getAndIncrement() == 0) {
-            peerLog.warn(LOG, "bad input: {0}", violation);
+            peerLog.warn(LOG, "invalid input from a stub: {0}", violation);
         }
     }
 
--- a/lab/src/test/java/vetchrill/program/ConcurrentEventsTest.java
+++ b/lab/src/test/java/vetchrill/program/ConcurrentEventsTest.java
@@ -138,7 +138,7 @@
         try (InstanceRig world = new InstanceRig().startHealthy()) {
             awaitNext(world.interpreter.commands, "a link");
             world.membership.fake.status = 0;
-            world.awaitLog("reports to the membership service fail");
+            world.awaitLog("health reports to the membership service fail");
             List<StubClient> idle = new ArrayList<>();
             for (int i = 0; i < 70; i++) {
                 idle.add(world.connectStub());
@@ -149,7 +149,7 @@
             world.interpreter.disconnect();
             assertEquals(awaitNext(world.interpreter.commands, "a link again"), "CONNECT 0");
             world.membership.fake.status = 204;
-            world.awaitLog("reports to the membership service are taken again");
+            world.awaitLog("health reports to the membership service succeed again");
             try (StubClient stub = world.connectStub()) {
                 stub.sendExchange(1, "look", A, "");
                 awaitNext(world.interpreter.commands, "a run");
--- a/lab/src/test/java/vetchrill/program/InstanceRunnerTest.java
+++ b/lab/src/test/java/vetchrill/program/InstanceRunnerTest.java
@@ -471,7 +471,7 @@
                     awaitNext(world.membership.phases, "a report");
                 }
                 world.membership.fake.status = 204;
-                world.awaitLog("taken again");
+                world.awaitLog("succeed again");
                 assertEquals(world.logText().split("answered 503").length, 2, "told once for each row of failures");
             }
         }
