--- a/peers/src/main/java/vetchrill/audit/AuditConfig.java
+++ b/peers/src/main/java/vetchrill/audit/AuditConfig.java
@@ -3,13 +3,13 @@
 import java.nio.file.Path;
 
 /**
- * What an operator's file says of the record.
+ * The audit log's settings in the operator's configuration file.
  *
- * @param ringCapacity rows that may wait for the writer; past them they are counted and left out
- * @param flushPeriod tenths of a millisecond: what was noted is on the disk so long after at most, so much a crash
- * loses
- * @param segmentBytes a new file is begun past it
- * @param maxBytes of all files; past it the oldest are given up
+ * @param ringCapacity events that may be queued for the writer; events past them are left out of the log and counted
+ * @param flushPeriod tenths of a millisecond after which an event is on the disk at the latest; a crash loses at most
+ *     the events of that time
+ * @param segmentBytes size from which on a new segment is started
+ * @param maxBytes maximum size of all segments together; past it the oldest are deleted
  */
 public record AuditConfig(Path directory, int ringCapacity, long flushPeriod, long segmentBytes, long maxBytes) {
 }
--- a/peers/src/main/java/vetchrill/audit/AuditEvent.java
+++ b/peers/src/main/java/vetchrill/audit/AuditEvent.java
@@ -6,38 +6,37 @@
 import java.io.IOException;
 
 /**
- * One line of a record. Which fields have a meaning depends on its kind; all of them are written, so that one shape is
- * read for all.
+ * One event of the audit log. Which fields have a meaning depends on the kind; all of them are written, so that all
+ * events have one format.
  *
- * @param kind what it tells
- * @param hybridTime see {@link HybridLogicalClock}
- * @param id of an exchange; else a number as the kind says
- * @param version by which it was decided, or that it is about
- * @param group and {@code customer}: places in the settings that the life names
- * @param answer as in the recorder: completed 1, denied 2, terminated 3, left 4
+ * @param hybridTime a timestamp of {@link HybridLogicalClock}
+ * @param id of an exchange; else a number that depends on the kind
+ * @param version the version that an exchange was decided by, or that the event is about
+ * @param group index in the settings that the process was started with, as is {@code customer}
+ * @param answer as in {@link vetchrill.routing.Recorder}: 1 completed, 2 denied, 3 terminated, 4 disconnected
  * @param instanceTime tenths of a millisecond of the instance's own clock, which never steps
- * @param text a name, a digest or what staff was told
- * @param detail another text
+ * @param text a name, a digest or the name of a notice, by kind
+ * @param detail a second text, by kind
  */
 public record AuditEvent(Kind kind, long hybridTime, long id, long version, int group, int customer, int answer,
-        long instanceTime,
-        String text, String detail) {
+        long instanceTime, String text, String detail) {
+    /** Written to the disk by ordinal and to tables and pages by name, so neither may change. */
     public enum Kind {
-        /** A process begins: its name, number (id), and in {@code more} what it is. */
+        /** A process started: its nonce (id), its name (text), and its program and settings (detail). */
         LIFE,
-        /** From here on what arrives is decided by that version, whose content has the digest in {@code text}. */
+        /** The version became active: exchanges that arrive from here on are decided by it. */
         TAKEN,
-        /** A run was asked for. */
+        /** A run was requested for the exchange for the first time. */
         BEGUN,
-        /** The exchange is over: answered, and nothing of it runs any more. */
+        /** The exchange was answered, and nothing of it runs any more. */
         OVER,
-        /** Something that staff was told: {@code text} which, {@code more} of whom and why. */
+        /** A notice to staff: its name (text), and the instance that it is about and the reason (detail). */
         EVENT,
-        /** Another instance, {@code text}, says that its record has come to block {@code id}, digest {@code more}. */
+        /** Another instance (text) reported that its audit log has come to a block (id) with that digest (detail). */
         HEAD,
-        /** So many rows (id) found no room since the last of these. */
+        /** So many events (id) were left out for lack of room since the last event of this kind. */
         LEFT_OUT,
-        /** The process ended in its order. */
+        /** The process ended by an orderly shutdown. */
         END
     }
 
@@ -60,23 +59,23 @@
         out.writeEndArray();
     }
 
-    /** Null at the end. */
+    /** Reads the next event; null at the end of the block. */
     static AuditEvent read(JsonParser in) throws IOException {
         JsonToken token = in.nextToken();
         if (token == null) {
             return null;
         }
         if (token != JsonToken.START_ARRAY) {
-            throw new IOException("no row");
+            throw new IOException("not an audit event");
         }
         int kind = in.nextIntValue(-1);
         if (kind < 0 || kind >= KINDS.length) {
-            throw new IOException("a row of an unknown kind");
+            throw new IOException("an audit event of unknown kind");
         }
         AuditEvent event = new AuditEvent(KINDS[kind], in.nextLongValue(0), in.nextLongValue(0), in.nextLongValue(0),
                 in.nextIntValue(0), in.nextIntValue(0), in.nextIntValue(0), in.nextLongValue(0), text(in), text(in));
         if (in.nextToken() != JsonToken.END_ARRAY) {
-            throw new IOException("a row of another length");
+            throw new IOException("an audit event with a wrong number of fields");
         }
         return event;
     }
--- a/peers/src/main/java/vetchrill/audit/AuditSegments.java
+++ b/peers/src/main/java/vetchrill/audit/AuditSegments.java
@@ -18,9 +18,10 @@
 import vetchrill.versions.Digests;
 
 /**
- * The files of a record. A segment begins with a head of fixed size: format, the name of its instance, its number, the
- * number of its first block, the digest before it. Each block is its length, a CRC-32C of what follows, its digest
- * (SHA-256 of the digest before it and of its rows) and its rows, one CBOR item after the other (RFC 8742).
+ * The file format of the audit log. A segment begins with a header of fixed size: format, the name of its instance, its
+ * number, the number of its first block, and the digest of the block before that. Each block is the length of its
+ * events, a CRC-32C of the rest, its digest (SHA-256 of the previous block's digest and of its events) and its events,
+ * a CBOR sequence (RFC 8742). The digests chain all blocks of a log, so a later change of a block is detected.
  */
 public final class AuditSegments {
     static final CBORFactory CBOR = new CBORFactory();
@@ -29,9 +30,12 @@
     static final int NAME_BYTES = 128;
     static final int HEADER_BYTES = 8 + NAME_BYTES + 8 + 8 + DIGEST_BYTES;
     static final int BLOCK_HEADER_BYTES = 4 + 4 + DIGEST_BYTES;
+    private static final int BLOCK_CRC_OFFSET_BYTES = 4;
+    /** The first field of a block that its checksum covers. */
+    private static final int BLOCK_DIGEST_OFFSET_BYTES = 8;
     static final int MAX_BLOCK_BYTES = 8 << 20;
 
-    /** The head of one segment. */
+    /** The header of a segment; a name of more than {@link #NAME_BYTES} is cut off. */
     public record Header(String name, long number, long firstBlock, byte[] previousDigest) {
         byte[] encode() {
             ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES);
@@ -47,7 +51,7 @@
             byte[] previousDigest = new byte[DIGEST_BYTES];
             buffer.get(format).get(name);
             if (!java.util.Arrays.equals(format, FORMAT)) {
-                throw new IOException("no segment of a record, or of another format");
+                throw new IOException("not a segment of an audit log, or of another format");
             }
             long number = buffer.getLong();
             long firstBlock = buffer.getLong();
@@ -56,18 +60,18 @@
         }
     }
 
-    /** Who is told of a record in the order in which it was written. */
+    /** Receives the content of a segment in the order in which it was written. */
     public interface Visitor {
         default void segment(Path file, Header header) {
         }
 
-        /** A block whose checksum is right; {@code chained} where its digest follows from the one before. */
+        /** A block with a valid checksum; {@code chained} if its digest follows from the previous block's. */
         default void block(Path file, long number, byte[] digest, boolean chained) {
         }
 
         void event(AuditEvent event) throws IOException;
 
-        /** What follows can't be read: at a file's end a write that was torn, elsewhere damage. */
+        /** The rest of the file can't be read: a torn write if it is at the end of the log, else damage. */
         default void unreadable(Path file, long offset, long remaining, String problem) {
         }
     }
@@ -79,7 +83,7 @@
         return folder.resolve(String.format("%s-%08d.audit", name, number));
     }
 
-    /** All of a folder, by name and number. */
+    /** All segments in a directory, sorted by name and number. */
     public static List<Path> filesIn(Path folder) throws IOException {
         try (var files = Files.list(folder)) {
             return new ArrayList<>(files.filter(each -> each.getFileName().toString().endsWith(".audit")).sorted()
@@ -87,6 +91,7 @@
         }
     }
 
+    /** The digest of the block whose events are the first {@code size} bytes of {@code payload}. */
     static byte[] chainedDigest(byte[] previousDigest, byte[] payload, int size) {
         MessageDigest sha = Digests.sha256();
         sha.update(previousDigest);
@@ -98,20 +103,27 @@
         ByteBuffer block = ByteBuffer.allocate(BLOCK_HEADER_BYTES + size);
         block.putInt(size).putInt(0).put(digest).put(payload, 0, size);
         CRC32C crc = new CRC32C();
-        crc.update(block.array(), 8, DIGEST_BYTES + size);
-        return block.putInt(4, (int) crc.getValue()).array();
+        crc.update(block.array(), BLOCK_DIGEST_OFFSET_BYTES, DIGEST_BYTES + size);
+        return block.putInt(BLOCK_CRC_OFFSET_BYTES, (int) crc.getValue()).array();
     }
 
-    /** Reads one segment; how many octets of it are whole, and its last digest and block number. */
+    /**
+     * Where the intact part of a segment ends.
+     *
+     * @param intactBytes size of the intact part
+     * @param digest of its last block, or that of the header if it has none
+     * @param nextBlock number of the block after it
+     */
     public record SegmentEnd(long intactBytes, byte[] digest, long nextBlock) {
     }
 
+    /** Reads one segment, up to the first block that is torn or damaged. */
     public static SegmentEnd read(Path file, Visitor visitor) throws IOException {
         try (DataInputStream in = new DataInputStream(new BufferedInputStream(Files.newInputStream(file), 1 << 16))) {
             long fileBytes = Files.size(file);
             byte[] headerBytes = in.readNBytes(HEADER_BYTES);
             if (headerBytes.length < HEADER_BYTES) {
-                visitor.unreadable(file, 0, fileBytes, "the head is torn");
+                visitor.unreadable(file, 0, fileBytes, "incomplete header");
                 return new SegmentEnd(0, new byte[DIGEST_BYTES], 0);
             }
             Header header = Header.decode(headerBytes);
@@ -127,7 +139,7 @@
                     int size = in.readInt();
                     int crc = in.readInt();
                     if (size < 0 || size > MAX_BLOCK_BYTES) {
-                        problem = "a block of " + size + " octets";
+                        problem = "a block of " + size + " bytes";
                     } else {
                         in.readFully(storedDigest);
                         payload = new byte[size];
@@ -135,10 +147,10 @@
                         CRC32C computed = new CRC32C();
                         computed.update(storedDigest);
                         computed.update(payload);
-                        problem = (int) computed.getValue() == crc ? null : "a block with a wrong checksum";
+                        problem = (int) computed.getValue() == crc ? null : "a block with an invalid checksum";
                     }
                 } catch (EOFException e) {
-                    problem = "a block that is torn";
+                    problem = "an incomplete block";
                 }
                 if (problem != null) {
                     visitor.unreadable(file, offset, fileBytes - offset, problem);
--- a/peers/src/main/java/vetchrill/audit/AuditWriter.java
+++ b/peers/src/main/java/vetchrill/audit/AuditWriter.java
@@ -18,20 +18,20 @@
 import vetchrill.routing.Recorder;
 
 /**
- * The record of one instance: what it decided, by which version, and what it heard of the records of others. Rows are
- * noted on the decision thread, which never waits, and written in blocks by a thread of its own, each block with the
- * digest of all before it. What finds no room, in memory or on the disk, is counted, and the count is written as soon
- * as something can be.
+ * Writes the audit log of one instance: what it decided, by which version, and how far the audit logs of other
+ * instances have come as reported by them. Events are queued by the decision thread, which never waits, and written in
+ * blocks by a thread of its own; each block has a digest that chains it to all before it. Events that find no room, in
+ * memory or on the disk, are counted, and the count is written as soon as writing is possible again.
  */
 public final class AuditWriter implements Recorder {
-    /** Where the octets go; a rig puts a disk in its place that is full or slow. */
+    /** The file operations of the writer, behind an interface so that tests can simulate a full or slow disk. */
     public interface Disk {
         void write(FileChannel channel, ByteBuffer bytes) throws IOException;
 
         void sync(FileChannel channel) throws IOException;
     }
 
-    /** The disk as it is. */
+    /** The real file system. */
     public static final Disk FILE_SYSTEM = new Disk() {
         @Override
         public void write(FileChannel channel, ByteBuffer bytes) throws IOException {
@@ -46,19 +46,36 @@
         }
     };
 
-    /** How far the record has come, as others are told. */
+    /**
+     * How far the audit log has come, as reported to other instances.
+     *
+     * @param block number of the last block; -1 for none
+     * @param digest of that block, in hexadecimal digits
+     */
     public record Position(long block, String digest) {
     }
 
+    /** Counters for {@link #counter}: exchanges decided since the start, and of these denied, failed and aborted. */
+    public static final int DECIDED_COUNTER = 0;
+    public static final int DENIED_COUNTER = 1;
+    public static final int FAILED_COUNTER = 2;
+    public static final int ABORTED_COUNTER = 3;
+    private static final int COUNTERS = 4;
+
     private static final System.Logger LOG = System.getLogger("vetchrill.audit");
+    private static final long NS_PER_TENTH_MS = 100_000;
     private static final long IDLE_PAUSE_NS = 2_000_000;
+    private static final int WRITER_STACK_BYTES = 512 << 10;
+    private static final int CLOSE_TIMEOUT_S = 5;
+    /** Size from which on a block is written before the flush period is over. */
     private static final int BLOCK_BYTES = 256 << 10;
     private static final int MAX_QUEUED_NOTICES = 4_096;
 
+    /** An event from another thread than the decision thread; it gets its time when it is written. */
     private record Notice(Kind kind, long id, long version, String text, String detail) {
     }
 
-    /** A row on its way, taken up again once it is written. */
+    /** An event of the decision thread on its way to the writer; reused, so that none is allocated per exchange. */
     private static final class PendingEvent {
         private Kind kind;
         private long hybridTime;
@@ -76,33 +93,39 @@
     private final Disk disk;
     private final SpscArrayQueue<PendingEvent> freeEvents;
     private final SpscArrayQueue<PendingEvent> queuedEvents;
-    /** From whatever thread, seldom. */
+    /** Filled by any thread, rarely. */
     private final ConcurrentLinkedQueue<Notice> queuedNotices = new ConcurrentLinkedQueue<>();
-    private final AtomicLongArray counts = new AtomicLongArray(4);
-    /** Written by the decision thread only: rows that found no room in the ring. */
+    private final AtomicLongArray counts = new AtomicLongArray(COUNTERS);
+    /** Events that found no room in the ring; written by the decision thread only. */
     private volatile long droppedEvents;
     private volatile long droppedNotices;
     private volatile Position position;
     private volatile boolean closing;
     private final ExchangeRow exchangeRow = new ExchangeRow();
     private final Thread writerThread;
-    // Of the writer alone.
+    // Used by the writer thread only, from here on.
     private final ByteArrayOutputStream blockBuffer = new ByteArrayOutputStream(BLOCK_BYTES);
     private JsonGenerator generator;
     private long eventsInBlock;
+    /** Events left out since the start, as far as {@link Kind#LEFT_OUT} events tell of them. */
     private long reportedLeftOut;
+    /** Events lost by failed writes. */
     private long unwrittenEvents;
     private FileChannel segmentFile;
     private long segmentLength;
     private long nextSegment;
     private byte[] lastDigest = new byte[AuditSegments.DIGEST_BYTES];
     private long nextBlock;
+    /** Whether the last write failed; only the first failure in a row is logged. */
     private boolean failing;
 
-    /** {@code what} says what the process is, at the begin of its life. Throws where the folder is of no use. */
+    /**
+     * Resumes the log in the directory of {@code config} and starts the writer thread. {@code processInfo} describes
+     * the program and its settings, for the event that marks the start of this process. Throws IOException if the
+     * directory can't be used.
+     */
     public AuditWriter(AuditConfig config, String name, long nonce, String processInfo, HybridLogicalClock hybridClock,
-            Disk disk)
-            throws IOException {
+            Disk disk) throws IOException {
         this.config = config;
         this.name = name;
         this.hybridClock = hybridClock;
@@ -117,12 +140,12 @@
         generator = AuditSegments.CBOR.createGenerator(blockBuffer);
         position = new Position(nextBlock - 1, AuditSegments.hex(lastDigest));
         queuedNotices.add(new Notice(Kind.LIFE, nonce, 0, name, processInfo));
-        writerThread = new Thread(null, this::runWriter, "audit", 512 << 10);
+        writerThread = new Thread(null, this::runWriter, "audit", WRITER_STACK_BYTES);
         writerThread.setDaemon(true);
         writerThread.start();
     }
 
-    /** Where the record of the last life ends, this one goes on; a write that was torn by its end is cut off. */
+    /** Continues the log of the previous process; an incomplete block at its end is cut off. */
     private void resumeLog() throws IOException {
         List<Path> segments = AuditSegments.filesIn(config.directory()).stream()
                 .filter(each -> each.getFileName().toString().startsWith(name + "-")).toList();
@@ -138,8 +161,8 @@
             try (FileChannel channel = FileChannel.open(last, StandardOpenOption.WRITE)) {
                 channel.truncate(end.intactBytes());
             }
-            LOG.log(System.Logger.Level.WARNING, "{0} ended within a block: {1} octets cut off", last, size
-                    - end.intactBytes());
+            LOG.log(System.Logger.Level.WARNING, "{0} ended with an incomplete block: {1} bytes cut off", last,
+                    size - end.intactBytes());
         }
         if (end.intactBytes() > 0) {
             lastDigest = end.digest();
@@ -147,12 +170,12 @@
         }
     }
 
-    /** Exchanges that were decided since the start, and of these denied, failed and broken off. */
+    /** The value of a counter, such as {@link #DECIDED_COUNTER}. */
     public long counter(int index) {
         return counts.get(index);
     }
 
-    /** How far the record has come on the disk. */
+    /** How far the log has come on the disk. */
     public Position position() {
         return position;
     }
@@ -171,9 +194,11 @@
 
     @Override
     public void put(ExchangeRow row) {
-        counts.lazySet(0, counts.get(0) + 1);
-        int counterIndex = row.answerKind == DENIED ? 1 : row.answerKind == TERMINATED ? row.startedAt > 0 ? 2 : 3 : 0;
-        if (counterIndex > 0) {
+        counts.lazySet(DECIDED_COUNTER, counts.get(DECIDED_COUNTER) + 1);
+        int counterIndex = row.answerKind == DENIED ? DENIED_COUNTER
+                : row.answerKind == TERMINATED ? row.startedAt > 0 ? FAILED_COUNTER : ABORTED_COUNTER
+                : DECIDED_COUNTER;
+        if (counterIndex > DECIDED_COUNTER) {
             counts.lazySet(counterIndex, counts.get(counterIndex) + 1);
         }
         enqueue(Kind.OVER, row.id, row.version, row.group, row.customer, row.answerKind, row.answeredAt);
@@ -213,17 +238,17 @@
 
     @Override
     public void put(GaugeRow row) {
-        throw new IllegalStateException("looks are not recorded here");
+        throw new IllegalStateException("gauges are not recorded in the audit log");
     }
 
     // On any thread.
 
-    /** Something that staff was told. */
+    /** Records a notice to staff. */
     public void recordNotice(String name, long version, String detail) {
         enqueue(new Notice(Kind.EVENT, 0, version, name, detail));
     }
 
-    /** What another instance said of its record. */
+    /** Records how far another instance's audit log has come, as reported by it. */
     public void recordPeerPosition(String peer, long block, String digest) {
         enqueue(new Notice(Kind.HEAD, block, 0, peer, digest));
     }
@@ -236,10 +261,10 @@
         }
     }
 
-    // On the writer's thread.
+    // On the writer thread.
 
     private void runWriter() {
-        long flushAt = System.nanoTime() + config.flushPeriod() * 100_000;
+        long flushAt = System.nanoTime() + config.flushPeriod() * NS_PER_TENTH_MS;
         while (true) {
             boolean lastPass = closing;
             try {
@@ -249,7 +274,7 @@
                 }
                 if (lastPass || blockBuffer.size() >= BLOCK_BYTES || System.nanoTime() >= flushAt) {
                     writeBlock();
-                    flushAt = System.nanoTime() + config.flushPeriod() * 100_000;
+                    flushAt = System.nanoTime() + config.flushPeriod() * NS_PER_TENTH_MS;
                 }
                 if (lastPass) {
                     if (segmentFile != null) {
@@ -265,7 +290,7 @@
                 if (lastPass) {
                     return;
                 }
-                LockSupport.parkNanos(config.flushPeriod() * 100_000);
+                LockSupport.parkNanos(config.flushPeriod() * NS_PER_TENTH_MS);
             }
         }
     }
@@ -302,7 +327,7 @@
         long leftOut = droppedEvents + droppedNotices + unwrittenEvents;
         if (leftOut > reportedLeftOut) {
             appendEvent(Kind.LEFT_OUT, hybridClock.next(), leftOut - reportedLeftOut, 0, 0, 0, 0, 0, "", "");
-            // Where this can't be written either, it is not one more that was left out.
+            // If this one can't be written either, it must not be counted as another event that was left out.
             eventsInBlock--;
         }
         if (blockBuffer.size() == 0) {
@@ -325,15 +350,15 @@
         eventsInBlock = 0;
         if (failing) {
             failing = false;
-            LOG.log(System.Logger.Level.INFO, "the record goes on; {0} rows were left out since the start",
-                    reportedLeftOut);
+            LOG.log(System.Logger.Level.INFO,
+                    "writing the audit log works again; {0} events were left out since the start", reportedLeftOut);
         }
     }
 
-    /** What could not be written is left out and counted; what stands in the file by half is cut off again. */
+    /** Counts the events of the block as left out, and cuts off what was written of it. */
     private void handleWriteFailure(IOException e) {
         if (!failing) {
-            LOG.log(System.Logger.Level.ERROR, "the record can''t be written: {0}", String.valueOf(e.getMessage()));
+            LOG.log(System.Logger.Level.ERROR, "writing the audit log fails: {0}", String.valueOf(e.getMessage()));
         }
         failing = true;
         unwrittenEvents += eventsInBlock;
@@ -370,7 +395,10 @@
         nextSegment++;
     }
 
-    /** The oldest files go first; that they were there shows by the number at which the next one begins. */
+    /**
+     * Deletes the oldest segments while there is no room for another one. That they are missing is detectable: the
+     * header of the next one has the number of its first block.
+     */
     private void deleteOldSegments() throws IOException {
         List<Path> segments = AuditSegments.filesIn(config.directory());
         long totalBytes = 0;
@@ -383,17 +411,17 @@
             }
             totalBytes -= Files.size(each);
             Files.delete(each);
-            LOG.log(System.Logger.Level.WARNING, "{0} is given up for the bound of {1} MB", each,
+            LOG.log(System.Logger.Level.WARNING, "deleted {0}: the audit log is limited to {1} MB", each,
                     config.maxBytes() >> 20);
         }
     }
 
-    /** On any other thread, once nothing is noted any more; what was noted is written. */
+    /** Writes all queued events and ends the log. To be called on another thread, when no more events come. */
     @Override
     public void close() {
         closing = true;
         try {
-            writerThread.join(TimeUnit.SECONDS.toMillis(5));
+            writerThread.join(TimeUnit.SECONDS.toMillis(CLOSE_TIMEOUT_S));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/peers/src/main/java/vetchrill/peers/VersionService.java
+++ b/peers/src/main/java/vetchrill/peers/VersionService.java
@@ -136,8 +136,9 @@
     void processPending() {
         versionManager.advanceTime(clock.getAsLong());
         if (auditWriter != null) {
-            versionManager.updateCounters(auditWriter.counter(0), auditWriter.counter(1), auditWriter.counter(2),
-                    auditWriter.counter(3));
+            versionManager.updateCounters(auditWriter.counter(AuditWriter.DECIDED_COUNTER),
+                    auditWriter.counter(AuditWriter.DENIED_COUNTER), auditWriter.counter(AuditWriter.FAILED_COUNTER),
+                    auditWriter.counter(AuditWriter.ABORTED_COUNTER));
         }
         while (versionManager.processNext(host)) {
             continue;
