--- a/peers/src/main/java/vetchrill/versions/Digests.java
+++ b/peers/src/main/java/vetchrill/versions/Digests.java
@@ -4,7 +4,7 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** SHA-256 in hexadecimal digits. */
+/** SHA-256 digests. */
 public final class Digests {
     private Digests() {
     }
@@ -17,6 +17,7 @@
         }
     }
 
+    /** The digest of the bytes in lower-case hexadecimal digits. */
     public static String of(byte[] bytes) {
         return HexFormat.of().formatHex(sha256().digest(bytes));
     }
--- a/peers/src/main/java/vetchrill/versions/MinVersionQuorum.java
+++ b/peers/src/main/java/vetchrill/versions/MinVersionQuorum.java
@@ -11,18 +11,26 @@
 import vetchrill.versions.VersionMessage.VoterPromise;
 
 /**
- * The floor under which nothing is begun: who has promised it, and until when this instance may go on without hearing
- * of a higher one. A floor is confirmed once more than half of the keepers hold it on their disks. An instance goes on
- * for one lease after it sent the questions that more than half of the keepers have answered. Of any two such halves
- * one keeper is in both: what it answered before its promise was asked before the floor was confirmed.
+ * The minimum version, below which no exchange may start, and the leases that enforce it: which voters have promised
+ * it, and until when this instance may go on without learning of a higher one. A minimum version is confirmed once a
+ * majority of voters has it on disk. An instance may go on for one lease from the time at which it sent the requests
+ * that a majority of voters has granted. Two majorities have a voter in common: what that voter granted before its
+ * promise was requested before the minimum version was confirmed.
  *
- * <p>A keeper that comes back without its disk may have promised what it no longer knows. It first takes another life,
- * which more than half of the others note before they tell it what they hold: a promise of an earlier life does not
- * count where anybody who is counted beside it has noted a later one (after Michael and others, "Recovering Shared
- * Objects Without Stable Storage", DISC 2017).
+ * <p>A voter that restarts without its disk may have made promises that it no longer knows. It first takes a new
+ * incarnation, which a majority of voters must record before they reply with what they know. A promise of an earlier
+ * incarnation no longer counts wherever a voter counted beside it has recorded a later one (after Michael et al.,
+ * "Recovering Shared Objects Without Stable Storage", DISC 2017).
  */
 final class MinVersionQuorum {
-    /** CHECKING: it remembers, and asks whether others remember more of it. */
+    /** How many of the latest lease requests are remembered, to be matched with their grants. */
+    private static final int MAX_TRACKED_REQUESTS = 16;
+
+    /**
+     * CHECKING: the voter has state on disk and asks whether other voters remember a later one. QUERYING: it has lost
+     * its state and queries the other voters. RECOVERING: it has taken a new incarnation and waits until other voters
+     * have recorded that. VOTING: it can promise and grant.
+     */
     private enum Phase { CHECKING, QUERYING, RECOVERING, VOTING, NOT_A_VOTER }
 
     private final VersionsConfig config;
@@ -30,16 +38,21 @@
     private final Map<String, VoterPromise> promises = new TreeMap<>();
     private Phase phase;
     private long incarnation;
-    /** The highest that was heard of; that on this keeper's disk. */
+    /** The highest minimum version known to this instance. */
     private long knownMinVersion;
+    /** The minimum version that this voter has on disk. */
     private long persistedMinVersion;
-    /** Of the questions of this recovery, so that answers to an earlier process are told apart. */
+    /** Id of the current state query, so that replies to an earlier process are ignored; 0 if there is none. */
     private long queryId;
+    /** Voters that have replied to the current query. */
     private final Set<String> responders = new HashSet<>();
+    /** Those of them whose reply counts towards the majority. */
     private final Set<String> qualifiedResponders = new HashSet<>();
+    /** The incarnation that the last recovery took. */
     private long recoveryIncarnation;
-    /** When the last question was sent that this keeper answered, in its life of now. */
+    /** For each voter, when the latest request was sent that it has granted in its current incarnation. */
     private final Map<String, Long> grantedRequestTimes = new HashMap<>();
+    /** Send times of the latest lease requests, by request id. */
     private final TreeMap<Long, Long> requestTimes = new TreeMap<>();
     private boolean needsPersist;
 
@@ -57,7 +70,7 @@
             persistedMinVersion = durableState.intact() ? durableState.minVersion() : 0;
         }
         needsPersist = false;
-        // The only keeper has nobody to be taught by: what its disk lost is lost.
+        // A single voter can't recover its state from anybody, so what its disk has lost stays lost.
         boolean onlyVoter = isVoter && config.voters().size() == 1;
         boolean persistedIntact = durableState != null && durableState.intact();
         phase = !isVoter ? Phase.NOT_A_VOTER : onlyVoter ? Phase.VOTING : persistedIntact ? Phase.CHECKING
@@ -69,14 +82,14 @@
         }
     }
 
-    // What happened.
+    // Events
 
-    /** A floor that was ordered or heard of. */
+    /** Records a minimum version that was requested here or reported by a peer. */
     void raise(long minVersion) {
         knownMinVersion = Math.max(knownMinVersion, minVersion);
     }
 
-    /** True where that is more than was known. */
+    /** Records the promise of a voter; returns whether it is newer than the known one. */
     boolean merge(VoterPromise received) {
         VoterPromise current = promises.get(received.voter());
         if (current == null) {
@@ -92,7 +105,7 @@
         }
         promises.put(received.voter(), received);
         if (received.incarnation() > current.incarnation()) {
-            // What an earlier life answered may have been answered beside a promise of this one.
+            // The earlier incarnation may have granted requests after a promise that the later one has made.
             grantedRequestTimes.remove(received.voter());
             needsPersist = true;
         }
@@ -100,8 +113,8 @@
     }
 
     /**
-     * Others have seen more of this name than it knows itself: its disk is older than its last promise, or another
-     * process has the name. Either way it promises nothing until it was taught.
+     * Peers remember a later state of this voter than it has itself: its disk is older than its last promise, or
+     * another process uses the name. Either way it must not promise or grant anything until it has recovered its state.
      */
     void invalidate() {
         if (phase != Phase.NOT_A_VOTER && phase != Phase.QUERYING && config.voters().size() > 1) {
@@ -113,15 +126,15 @@
         }
     }
 
-    /** {@code at} is when the question goes out. */
+    /** Records that a lease request is sent. */
     void recordRequest(long requestId, long sentAt) {
         requestTimes.put(requestId, sentAt);
-        while (requestTimes.size() > 16) {
+        while (requestTimes.size() > MAX_TRACKED_REQUESTS) {
             requestTimes.pollFirstEntry();
         }
     }
 
-    /** The keeper has answered that question in that life; what it knows is merged already. */
+    /** A voter has granted the request in that incarnation; the caller has merged the gossip state of its reply. */
     void recordGrant(String voter, long voterIncarnation, long requestId) {
         Long sentAt = requestTimes.get(requestId);
         if (sentAt != null && promises.containsKey(voter) && voterIncarnation >= promises.get(voter).incarnation()) {
@@ -129,25 +142,25 @@
         }
     }
 
-    /** A keeper that remembers needs no question to itself: it answers at the moment it asks. */
+    /** A voter that can vote grants its own request at the time of the request, without a message. */
     void recordOwnGrant(long now) {
         if (phase == Phase.VOTING) {
             grantedRequestTimes.put(name, now);
         }
     }
 
-    /** True where that was the last answer that was waited for. */
+    /** Records the reply to a state query; returns whether it completes the current phase. */
     boolean recordQueryReply(String voter, long replyTo, boolean voterCanVote, boolean voterIntact) {
         if (replyTo != queryId || !promises.containsKey(voter) || !needsQuery()) {
             return false;
         }
         responders.add(voter);
-        // Whoever is being checked itself may tell what it remembers of others, but teaches nobody.
+        // A voter that is itself being checked may confirm the state of others, but others can't recover from it.
         if (phase == Phase.CHECKING ? voterIntact : voterCanVote) {
             qualifiedResponders.add(voter);
         }
         if (phase == Phase.CHECKING) {
-            // This one and those are more than half: of all that was promised beside it some of them know.
+            // Together with this voter they are a majority: some of them know of whatever was promised beside it.
             if (qualifiedResponders.size() + 1 < config.majority() && responders.size() < config.voters().size() - 1) {
                 return false;
             }
@@ -156,7 +169,8 @@
             qualifiedResponders.clear();
             return true;
         }
-        // All of them where too few remember: a fleet that starts for the first time, or has lost more than it may.
+        // If too few voters have their state, the replies of all voters are needed: the fleet starts for the first
+        // time, or has lost more disks than a minority.
         if (qualifiedResponders.size() < config.majority() && responders.size() < config.voters().size() - 1) {
             return false;
         }
@@ -175,13 +189,13 @@
         return true;
     }
 
-    /** A question to the other keepers is due while this one remembers nothing; by which number it goes out. */
+    /** The id of the current state query; starts one with the id {@code newId} if there is none. */
     long startOrContinueQuery(long newId) {
         queryId = queryId == 0 ? newId : queryId;
         return queryId;
     }
 
-    /** What was to be kept is on the disk. */
+    /** The state is on disk: from now on its minimum version counts as promised. */
     void markPersisted(DurableState durableState) {
         if (isIntact() && durableState.intact() && durableState.incarnation() == incarnation) {
             persistedMinVersion = Math.max(persistedMinVersion, durableState.minVersion());
@@ -189,28 +203,29 @@
         }
     }
 
-    // What follows from it.
+    // Queries
 
-    /** Questions are out that bind nobody to a life of this one. */
+    /** Whether the query that is due asks for state only, without announcing an incarnation. */
     boolean isQuerying() {
         return phase == Phase.QUERYING || phase == Phase.CHECKING;
     }
 
-    /** The other keepers are to be asked what they remember. */
+    /** Whether the other voters have to be queried for their state. */
     boolean needsQuery() {
         return phase == Phase.QUERYING || phase == Phase.RECOVERING || phase == Phase.CHECKING;
     }
 
-    /** Nothing but a recovery that is over makes a keeper able, and only what is on its disk makes it answer. */
+    /** Whether this voter may promise and grant: only after its check or its recovery is complete. */
     boolean canVote() {
         return phase == Phase.VOTING;
     }
 
-    /** Its disk was there and nobody has doubted it. */
+    /** Whether this voter's state was on disk, or has been recovered, and has not been invalidated. */
     boolean isIntact() {
         return phase == Phase.VOTING || phase == Phase.CHECKING;
     }
 
+    /** Whether there is state to be written to disk; resets the flag. */
     boolean pollNeedsPersist() {
         boolean needed = needsPersist || phase == Phase.VOTING && knownMinVersion > persistedMinVersion;
         needsPersist = false;
@@ -221,7 +236,7 @@
         return knownMinVersion;
     }
 
-    /** What is on this keeper's disk; 0 where it keeps none. */
+    /** The minimum version that this voter has promised and has on disk; 0 if its state is not intact. */
     long promisedMinVersion() {
         return isIntact() ? persistedMinVersion : 0;
     }
@@ -234,13 +249,13 @@
         return new ArrayList<>(promises.values());
     }
 
-    /** The highest floor that more than half of the keepers have promised. */
+    /** The highest minimum version that a majority of voters has promised. */
     long confirmedMinVersion() {
         long[] minVersions = promises.values().stream().mapToLong(VoterPromise::minVersion).sorted().toArray();
         return minVersions[minVersions.length - config.majority()];
     }
 
-    /** Until when this instance may begin anything; Long.MIN_VALUE where it never heard enough of them. */
+    /** Until when this instance may start exchanges; Long.MIN_VALUE if a majority has never granted a lease. */
     long leaseUntil() {
         if (grantedRequestTimes.size() < config.majority()) {
             return Long.MIN_VALUE;
--- a/peers/src/main/java/vetchrill/versions/RolloutComparison.java
+++ b/peers/src/main/java/vetchrill/versions/RolloutComparison.java
@@ -5,34 +5,43 @@
 import java.util.Locale;
 
 /**
- * Whether those that took a version fare worse than those that did not, told from chance. Exchanges of one instance
- * come and fail in bunches, so an instance counts as one observation however many exchanges it had: the spread between
- * instances, not the number of exchanges, says how far two means may lie apart. Where that spread is less than that of
- * independent draws, the latter counts.
+ * Statistical test whether the instances that have activated a version do worse than those that have not. The exchanges
+ * of one instance arrive and fail in bursts, so an instance counts as one observation, however many exchanges it had:
+ * the variance between instances, not the number of exchanges, decides how far two means may differ by chance. If that
+ * variance is below the sampling variance of independent exchanges, the latter is used.
  */
 final class RolloutComparison {
-    /** What one instance has seen since it heard of the version, or since it took it. */
+    /**
+     * The counters of one instance since it learned of the version, or since it activated it.
+     *
+     * @param decided all its exchanges
+     * @param unsuccessful the number of unsuccessful ones by kind, in the order of {@link #UNSUCCESSFUL_KINDS}
+     */
     record Sample(String zone, long decided, long... unsuccessful) {
     }
 
-    static final List<String> UNSUCCESSFUL_KINDS = List.of("denied", "failed", "broken off");
-    /** Fewer exchanges on one instance tell nothing. */
+    static final List<String> UNSUCCESSFUL_KINDS = List.of("denied", "failed", "aborted");
+    /** Instances with fewer exchanges are not counted. */
     static final int MIN_EXCHANGES = 500;
-    /** Worse by less is nothing to stop a release for. */
+    /** A smaller difference of the rates is no reason to stop a rollout. */
     private static final double MIN_DIFFERENCE_RATIO = 0.03;
-    /** So many standard errors, more where few instances tell of the spread; see docs/versions.md for what it costs. */
+    /**
+     * The difference must exceed this many standard errors, plus {@link #SMALL_SAMPLE_STANDARD_ERRORS} divided by the
+     * degrees of freedom, since few instances estimate the variance badly. For the rates of wrong and missed stops see
+     * docs/versions.md.
+     */
     private static final double MIN_STANDARD_ERRORS = 5;
     private static final double SMALL_SAMPLE_STANDARD_ERRORS = 20;
 
     private RolloutComparison() {
     }
 
-    /** Null, or in what and by how much the first are worse than the others. */
+    /** Describes in what and by how much the updated instances do worse than the others; null if they don't. */
     static String findRegression(List<Sample> updated, List<Sample> notUpdated) {
         List<Sample> treatment = withEnoughExchanges(updated);
         List<Sample> sameZone = withEnoughExchanges(notUpdated).stream()
                 .filter(each -> treatment.stream().anyMatch(sample -> sample.zone().equals(each.zone()))).toList();
-        // Zones differ: whoever stands in the same one is the better measure, if there are any.
+        // Zones differ, so instances of the same zones are the better control group if there are enough of them.
         List<Sample> control = sameZone.size() >= 2 ? sameZone : withEnoughExchanges(notUpdated);
         if (treatment.isEmpty() || control.size() < 2) {
             return null;
@@ -41,8 +50,8 @@
             double treatmentRate = mean(treatment, kind);
             double controlRate = mean(control, kind);
             int degreesOfFreedom = treatment.size() + control.size() - 2;
-            double observedVariance = (squaredDeviations(treatment, kind, treatmentRate) + squaredDeviations(control,
-                    kind, controlRate)) / degreesOfFreedom;
+            double observedVariance = (squaredDeviations(treatment, kind, treatmentRate)
+                    + squaredDeviations(control, kind, controlRate)) / degreesOfFreedom;
             double exchanges = 0;
             for (Sample each : treatment) {
                 exchanges += each.decided();
@@ -56,11 +65,10 @@
                     * (treatment.size() + control.size()) / exchanges;
             double standardError = Math.sqrt(Math.max(observedVariance, samplingVariance)
                     * (1.0 / treatment.size() + 1.0 / control.size()));
-            if (treatmentRate - controlRate > MIN_DIFFERENCE_RATIO && treatmentRate
-                    - controlRate > (MIN_STANDARD_ERRORS + SMALL_SAMPLE_STANDARD_ERRORS / degreesOfFreedom)
-                    * standardError) {
+            if (treatmentRate - controlRate > MIN_DIFFERENCE_RATIO && treatmentRate - controlRate
+                    > (MIN_STANDARD_ERRORS + SMALL_SAMPLE_STANDARD_ERRORS / degreesOfFreedom) * standardError) {
                 return String.format(Locale.ROOT,
-                        "%s %.1f%% of their exchanges on %d that took it, %.1f%% on %d others",
+                        "%s %.1f%% of the exchanges on %d updated instances, %.1f%% on %d others",
                         UNSUCCESSFUL_KINDS.get(kind), 100 * treatmentRate, treatment.size(), 100 * controlRate,
                         control.size());
             }
--- a/peers/src/main/java/vetchrill/versions/VersionManager.java
+++ b/peers/src/main/java/vetchrill/versions/VersionManager.java
@@ -11,61 +11,100 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import vetchrill.versions.VersionMessage.PersistedRevision;
-import vetchrill.versions.VersionMessage.VoterPromise;
-import vetchrill.versions.VersionMessage.Kind;
-import vetchrill.versions.VersionMessage.GossipState;
-import vetchrill.versions.VersionMessage.KnownVersion;
 import vetchrill.versions.VersionMessage.Chunk;
+import vetchrill.versions.VersionMessage.GossipState;
 import vetchrill.versions.VersionMessage.InstanceStatus;
+import vetchrill.versions.VersionMessage.Kind;
+import vetchrill.versions.VersionMessage.KnownVersion;
+import vetchrill.versions.VersionMessage.PersistedRevision;
+import vetchrill.versions.VersionMessage.VoterPromise;
 
 /**
- * By which version an instance decides, and until when it may: what is wanted spreads, is fetched, tried and taken;
- * whoever can't follow is brought up or shut out. The owner reports what happened through the methods of the first
- * part, which only note it, and then calls {@link #processNext} until it returns false; each call does at most one
- * thing
- * through {@link Host}. It knows no clock, no network and no disk. Times are tenths of a millisecond on a clock of the
- * owner's that never steps.
+ * Decides which version of the configuration is active on an instance, and until when the instance may go on without a
+ * new lease. Versions spread by gossip; their content is fetched from peers, validated, written to disk and then
+ * activated, in rollout stages or at once where the minimum version demands it. An instance below the minimum version
+ * or without a lease is fenced.
+ *
+ * <p>The class is a state machine without a clock, threads, network or disk: the owner passes events in through
+ * {@link #advanceTime}, {@link #receive} and the methods beside them, which only record them, and then calls
+ * {@link #processNext} until it returns false. Each of these calls performs at most one action through {@link Host}.
+ * Times are tenths of a millisecond of a monotonic clock of the owner.
  */
 public final class VersionManager {
-    /** What may become of it, for whoever keeps the log and the record. */
-    public enum Event { HEARD, TAKEN, REFUSED, FORK, STOPPED, BEHIND, BARRED, FREE, CONFIRMED, DISK, OLDER }
-
-    /** What it may ask of its owner. */
+    /** Events for the log and the audit log, into which they go by name. */
+    public enum Event {
+        /** A new version became known. */
+        HEARD,
+        /** This instance activated a version. */
+        TAKEN,
+        /** This instance can't activate a version. */
+        REFUSED,
+        /** Two different versions with one number were published. */
+        FORK,
+        /** The rollout of a version was stopped. */
+        STOPPED,
+        /** An instance is a straggler: it could have activated the newest version and has not. */
+        BEHIND,
+        /** This instance is fenced: it must not start exchanges. */
+        BARRED,
+        /** This instance is no longer fenced. */
+        FREE,
+        /** A minimum version was confirmed by a majority of voters. */
+        CONFIRMED,
+        /** The state can't be written to disk. */
+        DISK,
+        /** A peer remembers a later state of this instance than its disk holds. */
+        OLDER
+    }
+
+    /** Actions of the owner. */
     public interface Host {
         void send(String to, VersionMessage message);
 
-        /** Onto the disk, all of it or nothing; {@link #onPersisted} is called when that is done. One at a time. */
+        /** Writes the state to disk atomically and then calls {@link #onPersisted}. One write at a time. */
         void persist(DurableState state);
 
-        /** Whether this content could be taken here, without taking it; answered by {@link #onValidated}. */
+        /** Checks whether the content can be activated here, and calls {@link #onValidated} with the result. */
         void validate(Version version, byte[] content);
 
-        /** From now on whatever arrives is decided by this one. */
+        /** Activates the version: it applies to every exchange that arrives from now on. */
         void activate(Version version, byte[] content);
 
-        /** Nothing of a version under the floor is begun any more, and nothing at all from {@code until} on. */
+        /** No exchange of a version below {@code minVersion} may start any more, and none at all from {@code until}. */
         void updateLease(long activeVersion, long minVersion, long until);
 
-        /** Something that staff should see; {@code of} is the instance that it is about. */
+        /** Reports an event to the operators; {@code instance} is the one that it is about. */
         void report(Event event, String instance, long version, String text);
     }
 
     static final int CHUNK_BYTES = 16 << 10;
     private static final int MAX_KNOWN_VERSIONS = 4;
+    /** Number of peers that get a state message at once when there is something new. */
     private static final int NEW_STATE_FANOUT = 3;
+    /** Gossip periods for which a version is skipped whose content no peer could provide. */
     private static final int UNAVAILABLE_PERIODS = 8;
-    /** Words between two times that what others told of their disks is kept. */
+    /** Gossip periods between two writes that only concern the revisions of peers. */
     private static final int PEER_REVISION_PERSIST_PERIODS = 8;
+    /** Gossip periods until a failed write is retried. */
+    private static final int PERSIST_RETRY_PERIODS = 4;
+    private static final int LEASE_REQUESTS_PER_LEASE = 4;
+    /** Longest time between two lease requests, in gossip periods. */
+    private static final int MAX_LEASE_REQUEST_PERIODS = 2;
+    /** Decided, denied, failed and aborted exchanges. */
+    private static final int COUNTERS = 4;
+    /** The stop reason of a fork, sent to peers and compared with theirs. */
     private static final String FORK_REASON = "two contents under one number";
 
-    /** One version as it is known here. */
+    /** What this instance knows about one version. */
     private static final class TrackedVersion {
         final Version version;
+        /** On this instance's clock, as far as known: it only moves back. */
         long publishedAt;
+        /** Empty if the rollout is not stopped. */
         String stopReason;
+        /** Null until it has been fetched. */
         byte[] content;
-        /** Nobody had its content when all were asked; what is lower is taken meanwhile. */
+        /** Until then the version is skipped in favour of lower ones, since no peer could provide its content. */
         long unavailableUntil = Long.MIN_VALUE;
 
         TrackedVersion(Version version, long publishedAt, String stopReason) {
@@ -75,13 +114,14 @@
         }
     }
 
-    /** Another instance as it last told of itself. */
+    /** The latest status that a peer reported of itself. */
     public record PeerReport(String name, String zone, InstanceStatus status, long receivedAt) {
     }
 
     private record OutgoingMessage(String to, Kind kind, long requestId, Chunk chunk) {
     }
 
+    /** A reply to a recovery query that must not be sent before the state is on disk. */
     private record PendingReply(String to, long requestId) {
     }
 
@@ -104,53 +144,62 @@
     private long nextLeaseRequestAt;
     private long nextComparisonAt;
     private long nextStragglerCheckAt;
-    /** Something is news here that the others may not have heard. */
+    /** Whether there is new state that peers may not know yet. */
     private boolean hasNewState = true;
-    /** Answers that wait until what they rest on is on the disk. */
+    /** Replies that wait for the next write. */
     private final List<PendingReply> queuedReplies = new ArrayList<>();
+    /** Replies that are sent when the current write has succeeded. */
     private final List<PendingReply> repliesAwaitingPersist = new ArrayList<>();
+    /** The state that is being written; null if none is. */
     private DurableState persisting;
-    /** The last one given to the disk, whatever became of it. */
+    /** The state of the last write, whether it succeeded or not. */
     private DurableState lastSubmitted;
-    /** Of the memory given to the disk last, and of that which is there; see {@link DurableState#revision}. */
+    /** The revision of the last write; see {@link DurableState#revision}. */
     private long revision;
+    /** The revision on disk. */
     private long persistedRevision;
-    /** What the others told of theirs; kept now and then. */
+    /** The latest revisions that peers reported of themselves; written to disk now and then. */
     private final TreeMap<String, Long> peerRevisions = new TreeMap<>();
     private boolean peerRevisionsChanged;
     private long nextPeerRevisionPersistAt;
-    /** Each start is a memory of its own. */
+    /** True at the start, since each start writes a revision of its own. */
     private boolean persistNeeded = true;
     private boolean diskFailed;
     private long persistRetryAt;
     private Version activeVersion;
     private byte[] activeContent;
+    /** Validated; becomes active when it is on disk. */
     private TrackedVersion activating;
     private TrackedVersion validating;
+    /** Versions that can't be activated here, by number, and why. */
     private final Map<Long, String> rejected = new HashMap<>();
     private TrackedVersion fetching;
     private byte[] fetchBuffer;
     private int fetchOffset;
-    /** How far it had come when it was last asked for: nothing came since where that is still so. */
+    /** {@code fetchOffset} at the time of the last request: if they are equal, nothing has arrived since. */
     private int requestedOffset;
     private String fetchSource;
     private long fetchTimeoutAt;
     private final Set<String> fetchSourcesTried = new HashSet<>();
+    // What the host was last told.
     private long reportedMinVersion = -1;
     private long reportedLeaseUntil;
     private long reportedActiveNumber = -1;
     private boolean reportedFenced = true;
     private long reportedConfirmed;
-    private final long[] counters = new long[4];
-    private final long[] counterBaseline = new long[4];
+    private final long[] counters = new long[COUNTERS];
+    /** The counters when the newest version became known or was activated. */
+    private final long[] counterBaseline = new long[COUNTERS];
 
     /**
-     * {@code text} is the digest of the program; {@code nonce} is drawn by the process; {@code memory} is null where
-     * the disk holds none.
+     * Creates the state of an instance that has just started.
+     *
+     * @param programDigest digest of the program that runs on this instance
+     * @param nonce drawn at random by the process
+     * @param durableState the state on disk; null if there is none
      */
     public VersionManager(VersionsConfig config, String name, String zone, String programDigest, long nonce,
-            DurableState durableState, long seed,
-            long now) {
+            DurableState durableState, long seed, long now) {
         this.config = config;
         this.name = name;
         this.zone = zone;
@@ -159,7 +208,7 @@
         random = new SplittableRandom(seed);
         quorum = new MinVersionQuorum(config, name, durableState);
         this.now = now;
-        // An answer to a question of an earlier process must not be taken for one to a question of this one.
+        // Request ids start at random, so that a reply to an earlier process does not match a request of this one.
         lastRequestId = random.nextLong(Long.MAX_VALUE / 2);
         nextGossipAt = now;
         nextLeaseRequestAt = now;
@@ -183,13 +232,13 @@
         }
     }
 
-    // What happened.
+    // Events
 
     public void advanceTime(long now) {
         this.now = Math.max(this.now, now);
     }
 
-    /** What this instance has decided since its start: exchanges, and of these denied, failed and broken off. */
+    /** Sets the exchanges decided since the start of the instance, and those of them denied, failed and aborted. */
     public void updateCounters(long decided, long denied, long failed, long aborted) {
         counters[0] = decided;
         counters[1] = denied;
@@ -199,7 +248,7 @@
 
     public void receive(VersionMessage message) {
         if (!config.otherInstances().contains(message.sender())) {
-            // Nobody of this fleet, or another process under this name.
+            // Not an instance of this fleet, or another process with this instance's name.
             return;
         }
         if (message.status().revision() > peerRevisions.getOrDefault(message.sender(), 0L)) {
@@ -214,7 +263,7 @@
         merge(message.state(), senderBelowMin);
         switch (message.kind()) {
             case STATE -> {
-                // An answer is not answered: two that can't come to hold the same would go on for ever.
+                // A reply gets no reply: two instances whose states can't converge would go on forever.
                 if (message.requestId() == 0 && hasUpdatesFor(message.state())) {
                     send(message.sender(), Kind.STATE, 1);
                 }
@@ -229,7 +278,8 @@
             case GRANT -> quorum.recordGrant(message.sender(), incarnationOf(message), message.requestId());
             case RECALL -> send(message.sender(), Kind.RECALLED, message.requestId());
             case RECOVER -> {
-                // Its new life must outlast this process, else a promise of its earlier one might count again.
+                // The new incarnation must be on disk before the reply: if this process lost it, a promise of the
+                // earlier incarnation might count again.
                 queuedReplies.add(new PendingReply(message.sender(), message.requestId()));
                 persistNeeded = true;
             }
@@ -244,17 +294,21 @@
         }
     }
 
-    /** This disk is of an earlier day than others have seen, or it was lost, or another process has the name. */
+    /**
+     * A peer remembers a later revision than this instance has: its disk holds an older copy or was lost, or another
+     * process uses the name.
+     */
     private void handleStaleDisk(String reporter, long seenRevision) {
         report(Event.OLDER, name, activeNumber(),
-                reporter + " remembers " + seenRevision + " memories of it, this disk " + persistedRevision
-                + ": it promises nothing until it was taught");
+                reporter + " remembers revision " + seenRevision + " of this instance, its disk holds "
+                + persistedRevision + ": it makes no promises until it has recovered its state from other voters");
         revision = seenRevision;
         quorum.invalidate();
         persistNeeded = true;
         nextLeaseRequestAt = now;
     }
 
+    /** The incarnation of the sender as a voter, by its own gossip state; -1 if it is no voter. */
     private static long incarnationOf(VersionMessage message) {
         for (VoterPromise each : message.state().promises()) {
             if (each.voter().equals(message.sender())) {
@@ -277,7 +331,10 @@
         }
     }
 
-    /** What one under the floor holds against a version does not count; that a version is there shows by itself. */
+    /**
+     * Merges what a peer knows about a version. A stop reason from a peer below the minimum version is ignored; that a
+     * version exists needs no trust in the peer.
+     */
     private void mergeVersion(KnownVersion received, boolean senderBelowMin) {
         long number = received.version().number();
         TrackedVersion known = versions.get(number);
@@ -317,26 +374,26 @@
         }
     }
 
-    /** Whether this instance knows of something that those news lack. */
+    /** Whether this instance knows of something that the received state lacks. */
     private boolean hasUpdatesFor(GossipState received) {
         if (quorum.knownMinVersion() > received.minVersion()) {
             return true;
         }
-        for (VoterPromise mine : quorum.promises()) {
-            boolean included = received.promises().stream().anyMatch(each -> each.voter().equals(mine.voter())
-                    && (each.incarnation() > mine.incarnation() || each.incarnation() == mine.incarnation()
-                    && each.minVersion() >= mine.minVersion()));
-            if (!included && mine.incarnation() + mine.minVersion() > 0) {
+        for (VoterPromise known : quorum.promises()) {
+            boolean included = received.promises().stream().anyMatch(each -> each.voter().equals(known.voter())
+                    && (each.incarnation() > known.incarnation() || each.incarnation() == known.incarnation()
+                    && each.minVersion() >= known.minVersion()));
+            if (!included && known.incarnation() + known.minVersion() > 0) {
                 return true;
             }
         }
-        for (TrackedVersion mine : versions.values()) {
-            boolean included = received.versions().stream().anyMatch(each -> each.version().number()
-                    == mine.version.number()
-                    && (each.stopReason().equals(FORK_REASON) || each.version().sameAs(mine.version)
-                    && (mine.stopReason.isEmpty() || !each.stopReason().isEmpty())));
+        for (TrackedVersion known : versions.values()) {
+            boolean included = received.versions().stream()
+                    .anyMatch(each -> each.version().number() == known.version.number()
+                            && (each.stopReason().equals(FORK_REASON) || each.version().sameAs(known.version)
+                                    && (known.stopReason.isEmpty() || !each.stopReason().isEmpty())));
             boolean evicted = received.versions().size() >= MAX_KNOWN_VERSIONS && received.versions().stream()
-                    .allMatch(each -> each.version().number() > mine.version.number());
+                    .allMatch(each -> each.version().number() > known.version.number());
             if (!included && !evicted) {
                 return true;
             }
@@ -344,26 +401,26 @@
         return false;
     }
 
-    /** The counts of now are where those since the newest version begin. */
+    /** The counters that are reported start from the present values. */
     private void resetCounterBaseline() {
         System.arraycopy(counters, 0, counterBaseline, 0, counterBaseline.length);
     }
 
-    /** Of the owner: what was given to {@link Host#persist} is on the disk, or could not be brought there. */
+    /** To be called by the owner when the write of {@link Host#persist} has succeeded or failed. */
     public void onPersisted(boolean succeeded) {
         DurableState persisted = persisting;
         persisting = null;
         if (!succeeded) {
             if (!diskFailed) {
                 report(Event.DISK, name, activeNumber(),
-                        "nothing can be kept: no version is taken and no floor promised");
+                        "the state can't be written to disk: no version is activated and no minimum version promised");
             }
             diskFailed = true;
             persistNeeded = true;
             queuedReplies.addAll(repliesAwaitingPersist);
             repliesAwaitingPersist.clear();
             activating = null;
-            persistRetryAt = now + config.gossipPeriod() * 4;
+            persistRetryAt = now + config.gossipPeriod() * PERSIST_RETRY_PERIODS;
             return;
         }
         diskFailed = false;
@@ -376,11 +433,11 @@
         }
         repliesAwaitingPersist.clear();
         if (activating != null && activating.stopReason.equals(FORK_REASON)) {
-            // It came out while it was being kept: the disk is told that it was not taken after all.
+            // The fork was discovered during the write, so the version on disk has to be replaced by the active one.
             persistNeeded = true;
             activating = null;
-        } else if (activating != null && persisted.activeVersion() != null && persisted.activeVersion()
-                .sameAs(activating.version)) {
+        } else if (activating != null && persisted.activeVersion() != null
+                && persisted.activeVersion().sameAs(activating.version)) {
             activeVersion = activating.version;
             activeContent = activating.content;
             activating = null;
@@ -393,7 +450,11 @@
         }
     }
 
-    /** Of the owner: whether the content it was asked to try could be taken; {@code why} not, null where it could. */
+    /**
+     * To be called by the owner with the result of {@link Host#validate}.
+     *
+     * @param rejectReason why the content can't be activated; null if it can
+     */
     public void onValidated(long number, String rejectReason) {
         TrackedVersion tracked = validating;
         validating = null;
@@ -414,23 +475,24 @@
         report(Event.REFUSED, name, version.number(), reason);
     }
 
-    // What an operator orders; null where it is done, else what is wrong with it.
+    // Commands of an operator
 
+    /** Publishes a version with its content; returns null, or the reason why it was not published. */
     public String publish(Version version, byte[] content) {
         TrackedVersion known = versions.get(version.number());
         if (known != null) {
-            return known.version.sameAs(version) ? "version " + version.number() + " is published already"
-                    : "version " + version.number() + " is there with another content; the next number is "
+            return known.version.sameAs(version) ? "version " + version.number() + " is already published"
+                    : "version " + version.number() + " exists with other content; the next number is "
                     + (newest() + 1);
         }
         if (version.number() <= newest() || version.number() <= activeNumber()) {
             return "version " + version.number() + " is not higher than " + Math.max(newest(), activeNumber());
         }
         if (version.number() <= quorum.knownMinVersion()) {
-            return "version " + version.number() + " is not above the floor of " + quorum.knownMinVersion();
+            return "version " + version.number() + " is not above the minimum version " + quorum.knownMinVersion();
         }
         if (isFenced()) {
-            return "this instance is shut out: it decides by version " + activeNumber() + ", the floor is "
+            return "this instance is fenced: its active version is " + activeNumber() + ", the minimum version "
                     + quorum.knownMinVersion();
         }
         mergeVersion(new KnownVersion(version, 0, ""), false);
@@ -438,14 +500,15 @@
         return null;
     }
 
+    /** Raises the minimum version; returns null, or the reason why it was not raised. */
     public String minVersion(long number) {
         if (number <= quorum.knownMinVersion()) {
-            return number == quorum.knownMinVersion() ? null : "the floor is " + quorum.knownMinVersion()
-                    + " already and never sinks";
+            return number == quorum.knownMinVersion() ? null : "the minimum version is already "
+                    + quorum.knownMinVersion() + " and can't be lowered";
         }
         TrackedVersion tracked = versions.get(number);
         if (tracked == null) {
-            return "no version " + number + " is known here";
+            return "version " + number + " is not known on this instance";
         }
         if (!tracked.stopReason.isEmpty()) {
             return "version " + number + " is stopped: " + tracked.stopReason;
@@ -455,16 +518,17 @@
         return null;
     }
 
+    /** Stops the rollout of a version; returns null, or the reason why it was not stopped. */
     public String halt(long number) {
         TrackedVersion tracked = versions.get(number);
         if (tracked == null) {
-            return "no version " + number + " is known here";
+            return "version " + number + " is not known on this instance";
         }
-        stop(tracked, "halted by staff", Event.STOPPED);
+        stop(tracked, "halted by an operator", Event.STOPPED);
         return null;
     }
 
-    // The content of a version.
+    // Content transfer
 
     private void handleFetch(VersionMessage message) {
         if (message.chunk() == null) {
@@ -478,6 +542,7 @@
                 new Chunk(message.chunk().digest(), offset, bytes)));
     }
 
+    /** Content with that digest that this instance has; null if it has none. */
     private byte[] contentOf(String digest) {
         for (TrackedVersion each : versions.values()) {
             if (each.version.digest().equals(digest) && each.content != null) {
@@ -489,7 +554,8 @@
 
     private void handleChunk(VersionMessage message) {
         Chunk chunk = message.chunk();
-        // From whomever: one that was given up on may only have been slow, and the digest tells a wrong piece.
+        // Accepted from any peer: one whose request timed out may only have been slow, and the digest of the whole
+        // content reveals a wrong chunk.
         if (fetching == null || chunk == null || !chunk.digest().equals(fetching.version.digest())
                 || chunk.offset() != fetchOffset) {
             return;
@@ -510,10 +576,13 @@
         if (Digests.of(fetchBuffer).equals(completed.version.digest())) {
             completed.content = fetchBuffer;
         }
-        // Else some piece was wrong: it is fetched anew, from another.
+        // Otherwise a chunk was wrong, and the content is fetched again.
     }
 
-    /** What is still there of an interrupted fetch goes on from where it stands, with whoever answers. */
+    /**
+     * Fetches the content of the target version chunk by chunk. If a peer stops answering, the fetch goes on from the
+     * same offset with another one.
+     */
     private boolean fetch() {
         TrackedVersion target = target();
         if (target == null || target.content != null) {
@@ -537,7 +606,7 @@
             return false;
         }
         if (fetchOffset == requestedOffset) {
-            // Whoever was asked has said nothing of use.
+            // The last request brought nothing, so another peer is asked.
             fetchSource = nextFetchSource(target.version);
         }
         fetchTimeoutAt = now + config.gossipPeriod();
@@ -553,7 +622,10 @@
         return true;
     }
 
-    /** Whoever took it has it, the author had it from the beginning; then anybody. Null once all were asked. */
+    /**
+     * Chooses a peer that has not been asked yet: first among the author and the instances on which the version is
+     * active, since these have or had the content, then among all others. Returns null once all have been asked.
+     */
     private String nextFetchSource(Version version) {
         List<String> candidates = new ArrayList<>();
         for (String each : config.otherInstances()) {
@@ -572,9 +644,9 @@
         return preferred.get(random.nextInt(preferred.size()));
     }
 
-    // What to do about it.
+    // Actions
 
-    /** Does the next thing that is due, if any, through the host; false when there is nothing left to do. */
+    /** Performs the next action that is due through the host; returns false if there was none. */
     public boolean processNext(Host host) {
         this.host = host;
         if (!notifications.isEmpty()) {
@@ -612,15 +684,16 @@
         }
         reportedFenced = !reportedFenced;
         if (reportedFenced) {
-            report(Event.BARRED, name, activeNumber(), activeNumber() < quorum.knownMinVersion() ? "under the floor of "
-                    + quorum.knownMinVersion() : "no lease: too few keepers were heard in time");
+            report(Event.BARRED, name, activeNumber(), activeNumber() < quorum.knownMinVersion()
+                    ? "below the minimum version " + quorum.knownMinVersion()
+                    : "no lease: too few voters answered in time");
         } else {
-            report(Event.FREE, name, activeNumber(), "the floor is " + quorum.knownMinVersion());
+            report(Event.FREE, name, activeNumber(), "the minimum version is " + quorum.knownMinVersion());
         }
         return true;
     }
 
-    /** Whether this instance may begin nothing. */
+    /** Whether this instance must not start any exchange. */
     public boolean isFenced() {
         return activeNumber() < quorum.knownMinVersion() || now >= until();
     }
@@ -629,45 +702,45 @@
         return config.serveWithoutQuorum() ? Long.MAX_VALUE : quorum.leaseUntil();
     }
 
+    /** Starts a write of the state if one is needed and none is running. */
     private boolean persist() {
         persistNeeded |= quorum.pollNeedsPersist();
         boolean needed = persistNeeded || peerRevisionsChanged && now >= nextPeerRevisionPersistAt;
         if (!needed || persisting != null || now < persistRetryAt) {
             return false;
         }
-        // What is remembered of others alone binds nobody: no news to them.
+        // A write that only concerns the revisions of peers does not get a new revision: peers don't rely on it.
         Version nextVersion = activating != null ? activating.version : activeVersion;
         boolean binds = persistNeeded || lastSubmitted == null || quorum.knownMinVersion() > lastSubmitted.minVersion()
                 || quorum.incarnation() > lastSubmitted.incarnation()
-                || nextVersion != null
-                && (lastSubmitted.activeVersion() == null || nextVersion.number() > lastSubmitted.activeVersion()
-                .number());
+                || nextVersion != null && (lastSubmitted.activeVersion() == null
+                        || nextVersion.number() > lastSubmitted.activeVersion().number());
         revision += binds ? 1 : 0;
         persistNeeded = false;
         repliesAwaitingPersist.addAll(queuedReplies);
         queuedReplies.clear();
         TrackedVersion pending = activating;
-        List<KnownVersion> persistedVersions = knownVersions();
+        List<KnownVersion> versionsToPersist = knownVersions();
         List<PersistedRevision> revisions = new ArrayList<>();
         peerRevisions.forEach((instance, peerRevision) -> revisions.add(new PersistedRevision(instance, peerRevision)));
         peerRevisionsChanged = false;
         nextPeerRevisionPersistAt = now + config.gossipPeriod() * PEER_REVISION_PERSIST_PERIODS;
         persisting = new DurableState(name, revision, quorum.incarnation(), quorum.isIntact(), quorum.knownMinVersion(),
-                quorum.promises(),
-                pending != null ? pending.version : activeVersion, pending != null ? pending.content : activeContent,
-                persistedVersions, revisions);
+                quorum.promises(), pending != null ? pending.version : activeVersion,
+                pending != null ? pending.content : activeContent, versionsToPersist, revisions);
         lastSubmitted = persisting;
         host.persist(persisting);
         return true;
     }
 
+    /** Has the content of the target version validated, if it is there. */
     private boolean validateTarget() {
         TrackedVersion target = target();
         if (target == null || target.content == null || validating != null || activating != null) {
             return false;
         }
         if (!target.version.programDigest().isEmpty() && !target.version.programDigest().equals(programDigest)) {
-            reject(target.version, "it is for another program");
+            reject(target.version, "it requires another program");
             return true;
         }
         validating = target;
@@ -675,14 +748,15 @@
         return true;
     }
 
-    /** The highest that this instance is to take now; null where it has it. */
+    /** The highest version that this instance should activate now; null if there is none above the active one. */
     private TrackedVersion target() {
         for (TrackedVersion each : versions.descendingMap().values()) {
             long number = each.version.number();
             if (number <= activeNumber()) {
                 return null;
             }
-            // A floor is not waited for in waves, and one that others must follow is followed though it was stopped.
+            // The minimum version is activated at once on all instances, without rollout stages and even if its
+            // rollout was stopped.
             boolean forced = quorum.knownMinVersion() >= number && activeNumber() < quorum.knownMinVersion();
             boolean available = each.content != null || now >= each.unavailableUntil;
             if (available && !rejected.containsKey(number) && (forced && !each.stopReason.equals(FORK_REASON)
@@ -693,17 +767,20 @@
         return null;
     }
 
+    /** Whether the rollout has reached the stage that includes this instance. */
     private boolean isStageOpen(TrackedVersion tracked) {
         int stage = tracked.version.firstStageFor(name, zone);
-        return stage < tracked.version.stages().size() && now >= tracked.publishedAt + stage
-                * tracked.version.stageInterval();
+        return stage < tracked.version.stages().size()
+                && now >= tracked.publishedAt + stage * tracked.version.stageInterval();
     }
 
+    /** Sends lease requests to all voters, and state queries if this voter has to recover its own state. */
     private boolean requestLease() {
         if (now < nextLeaseRequestAt) {
             return false;
         }
-        nextLeaseRequestAt = now + Math.max(1, Math.min(config.leaseDuration() / 4, config.gossipPeriod() * 2));
+        nextLeaseRequestAt = now + Math.max(1, Math.min(config.leaseDuration() / LEASE_REQUESTS_PER_LEASE,
+                config.gossipPeriod() * MAX_LEASE_REQUEST_PERIODS));
         long requestId = ++lastRequestId;
         if (quorum.needsQuery()) {
             long queryId = quorum.startOrContinueQuery(random.nextLong() & Long.MAX_VALUE | 1);
@@ -720,7 +797,10 @@
         return true;
     }
 
-    /** What is new goes to some at once; what is not, to one now and then, lest a lost word is lost for good. */
+    /**
+     * Sends new state to several random peers at once, and otherwise the state to one random peer every period, so that
+     * a lost message is made up for.
+     */
     private boolean gossip() {
         if (now < nextGossipAt && !hasNewState) {
             return false;
@@ -735,13 +815,17 @@
         return true;
     }
 
+    /** Queues a message without a chunk; none to this instance itself. */
     private void send(String to, Kind kind, long requestId) {
         if (!to.equals(name)) {
             outgoing.add(new OutgoingMessage(to, kind, requestId, null));
         }
     }
 
-    /** Keepers hear how everybody fares: each judges by itself, and the first to find a version worse stops it. */
+    /**
+     * Each voter compares by itself how the instances with and without the newest version do; the first one that finds
+     * a regression stops the rollout.
+     */
     private boolean compareRollout() {
         if (now < nextComparisonAt) {
             return false;
@@ -760,9 +844,8 @@
         for (PeerReport each : reportsWithSelf()) {
             InstanceStatus status = each.status();
             if (status.countedSince() == number && status.activeVersion() >= quorum.confirmedMinVersion()) {
-                (status.activeVersion() == number ? updated : notUpdated)
-                        .add(new RolloutComparison.Sample(each.zone(), status.decided(),
-                        status.denied(), status.failed(), status.aborted()));
+                (status.activeVersion() == number ? updated : notUpdated).add(new RolloutComparison.Sample(each.zone(),
+                        status.decided(), status.denied(), status.failed(), status.aborted()));
             }
         }
         String regression = RolloutComparison.findRegression(updated, notUpdated);
@@ -779,7 +862,7 @@
         return reports;
     }
 
-    /** Keepers tell of all, everybody of itself. */
+    /** Reports one straggler that was not reported yet: voters report any instance, the others only themselves. */
     private boolean reportStraggler() {
         if (versions.isEmpty() || now < nextStragglerCheckAt) {
             return false;
@@ -796,12 +879,11 @@
                     && now >= newest.publishedAt + stage * newest.version.stageInterval() + config.stragglerTimeout()
                     && reportedStragglers.computeIfAbsent(each.name(), any -> new HashSet<>()).add(number)) {
                 String reason = each.status().rejectedVersion() == number ? "refused: " + each.status().rejectReason()
-                        : now - each.receivedAt() > config.stragglerTimeout() ? "not heard for "
+                        : now - each.receivedAt() > config.stragglerTimeout() ? "no message for "
                         + (now - each.receivedAt()) / 10 + " ms"
-                        : "it has not come there yet";
-                report(Event.BEHIND, each.name(), number, "it decides by version " + each.status().activeVersion()
-                        + "; "
-                        + reason);
+                        : "it has not reached the instance yet";
+                report(Event.BEHIND, each.name(), number, "its active version is " + each.status().activeVersion()
+                        + "; " + reason);
                 return true;
             }
         }
@@ -814,7 +896,7 @@
             return false;
         }
         reportedConfirmed = quorum.confirmedMinVersion();
-        report(Event.CONFIRMED, name, reportedConfirmed, "the floor is held by more than half of the keepers");
+        report(Event.CONFIRMED, name, reportedConfirmed, "the minimum version is confirmed by a majority of voters");
         return true;
     }
 
@@ -822,7 +904,7 @@
         notifications.add(() -> host.report(event, instance, version, text));
     }
 
-    // What is known.
+    // Queries
 
     private GossipState gossipState() {
         return new GossipState(knownVersions(), quorum.knownMinVersion(), quorum.promises());
@@ -836,28 +918,28 @@
         return known;
     }
 
-    /** How this instance stands, as it tells the others. */
+    /** The status of this instance, as it is sent to peers. */
     public InstanceStatus status() {
         long newest = newest();
-        long[] counted = new long[4];
+        long[] counted = new long[COUNTERS];
         for (int i = 0; i < counted.length; i++) {
             counted[i] = Math.max(0, counters[i] - counterBaseline[i]);
         }
-        String reason = rejected.getOrDefault(newest, diskFailed ? "its disk keeps nothing" : "");
+        String reason = rejected.getOrDefault(newest, diskFailed ? "its disk can't be written" : "");
         return new InstanceStatus(activeNumber(), quorum.canVote(), quorum.isIntact(), persistedRevision,
-                reason.isEmpty() ? 0 : newest, reason,
-                newest, counted[0], counted[1], counted[2], counted[3]);
+                reason.isEmpty() ? 0 : newest, reason, newest, counted[0], counted[1], counted[2], counted[3]);
     }
 
     private long newest() {
         return versions.isEmpty() ? 0 : versions.lastKey();
     }
 
+    /** The number of the active version; 0 while that is the configuration that the instance was started with. */
     public long activeNumber() {
         return activeVersion == null ? 0 : activeVersion.number();
     }
 
-    /** Null while it decides by what it was started with. */
+    /** Null while the configuration that the instance was started with is active. */
     public Version activeVersion() {
         return activeVersion;
     }
@@ -866,30 +948,32 @@
         return activeContent;
     }
 
-    /** How far this instance's disk has come; see {@link DurableState#revision}. */
+    /** The revision on disk; see {@link DurableState#revision}. */
     public long persistedRevision() {
         return persistedRevision;
     }
 
-    /** The highest floor that was ordered, as far as heard of here. */
+    /** The highest minimum version that was requested, as far as this instance knows. */
     public long minVersion() {
         return quorum.knownMinVersion();
     }
 
-    /** The highest floor that more than half of the keepers hold on their disks. */
+    /** The highest minimum version that a majority of voters has on disk. */
     public long confirmedMinVersion() {
         return quorum.confirmedMinVersion();
     }
 
-    /** Until when this instance may begin what is not under the floor. */
+    /** Until when this instance may start exchanges of versions that are not below the minimum version. */
     public long leaseUntil() {
         return until();
     }
 
+    /** The latest known promise of each voter. */
     public List<VoterPromise> promises() {
         return quorum.promises();
     }
 
+    /** The latest report of each peer that was heard from. */
     public Collection<PeerReport> peerReports() {
         return peerReports.values();
     }
@@ -898,7 +982,7 @@
         return knownVersions();
     }
 
-    /** When it wants to be told of the time again, at the latest. */
+    /** The latest time at which the owner has to call {@link #advanceTime} again. */
     public long wakeAt() {
         long earliest = Math.min(nextGossipAt, nextLeaseRequestAt);
         if (fetching != null) {
--- a/peers/src/test/java/vetchrill/versions/RolloutComparisonTest.java
+++ b/peers/src/test/java/vetchrill/versions/RolloutComparisonTest.java
@@ -11,12 +11,15 @@
 import org.testng.annotations.Test;
 import vetchrill.versions.RolloutComparison.Sample;
 
-/** Worse, or chance: fleets whose exchanges are denied in bunches. */
+/** Simulated fleets in which exchanges are denied in bursts. */
 @Test
 public class RolloutComparisonTest {
     private static final int CHECKS = 60;
 
-    /** Bursts: within a second an instance denies nothing, or a good part; {@code more} is added to the mean. */
+    /**
+     * Adds one second of exchanges to the counts. In most seconds an instance denies none of them, in a burst a large
+     * part; {@code extraRate} is added to either rate.
+     */
     private static void simulateSecond(SplittableRandom random, long[] counts, double extraRate) {
         int exchanges = 20 + random.nextInt(20);
         boolean burst = random.nextInt(20) == 0;
@@ -26,14 +29,14 @@
         }
     }
 
-    /** After how many looks, one each five seconds, it was stopped; -1 for never. */
+    /** The number of the check, one every five seconds, that found a regression; -1 if none did. */
     private static int checksUntilStopped(SplittableRandom random, int updated, int notUpdated, double extraRate) {
         long[][] counts = new long[updated + notUpdated][2];
         for (int check = 0; check < CHECKS; check++) {
             List<Sample> treatment = new ArrayList<>();
             List<Sample> control = new ArrayList<>();
             for (int i = 0; i < counts.length; i++) {
-                for (int s = 0; s < 5; s++) {
+                for (int second = 0; second < 5; second++) {
                     simulateSecond(random, counts[i], i < updated ? extraRate : 0);
                 }
                 (i < updated ? treatment : control).add(new Sample("z", counts[i][0], counts[i][1], 0, 0));
@@ -45,7 +48,7 @@
         return -1;
     }
 
-    /** Five minutes with a look each five seconds, a version that is no worse: one roll-out in two hundred at most. */
+    /** With a version that is no worse, at most one rollout in 200 is stopped in five minutes of checks. */
     public void randomVariationSeldomStopsARollout() {
         for (int[] size : new int[][] {{1, 5}, {2, 10}, {10, 90}}) {
             int stopped = 0;
@@ -56,7 +59,7 @@
         }
     }
 
-    public void tenPercentMoreDenialsStopTheRollout() {
+    public void tenPercentagePointsMoreDenialsStopTheRollout() {
         for (int[] size : new int[][] {{2, 10}, {10, 90}}) {
             for (int seed = 0; seed < 50; seed++) {
                 assertTrue(checksUntilStopped(new SplittableRandom(seed), size[0], size[1], 0.1) >= 0, "seed " + seed);
@@ -73,17 +76,17 @@
                 List.of(good, good, good)));
     }
 
-    /** A zone that fares badly as a whole does not condemn the version that it takes first. */
+    /** A version is not stopped because it is first activated in a zone that does badly as a whole. */
     public void instancesOfTheSameZoneAreTheControlGroup() {
-        List<Sample> others = new ArrayList<>();
+        List<Sample> notUpdated = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            others.add(new Sample("well", 1_000, i % 3, 0, 0));
+            notUpdated.add(new Sample("healthy", 1_000, i % 3, 0, 0));
         }
-        Sample taker = new Sample("ill", 1_000, 300, 0, 0);
-        assertNotNull(RolloutComparison.findRegression(List.of(taker), others));
-        others.add(new Sample("ill", 1_000, 290, 0, 0));
-        others.add(new Sample("ill", 1_000, 320, 0, 0));
-        assertNull(RolloutComparison.findRegression(List.of(taker), others));
+        Sample updated = new Sample("unhealthy", 1_000, 300, 0, 0);
+        assertNotNull(RolloutComparison.findRegression(List.of(updated), notUpdated));
+        notUpdated.add(new Sample("unhealthy", 1_000, 290, 0, 0));
+        notUpdated.add(new Sample("unhealthy", 1_000, 320, 0, 0));
+        assertNull(RolloutComparison.findRegression(List.of(updated), notUpdated));
         assertEquals(RolloutComparison.UNSUCCESSFUL_KINDS.size(), 3);
     }
 }
