--- a/lab/src/test/java/vetchrill/InstanceRig.java
+++ b/lab/src/test/java/vetchrill/InstanceRig.java
@@ -3,9 +3,11 @@
 import java.io.Closeable;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
+import java.io.EOFException;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.Socket;
+import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -19,11 +21,14 @@
 import vetchrill.standin.Ports;
 import vetchrill.standin.StubFrames;
 
-/** The parties that an instance speaks to, on loopback ports that the system chooses, and the instance itself. */
+/**
+ * Runs an instance as a separate process, with a fake interpreter, a fake membership service and client stubs on
+ * loopback ports that the system chooses.
+ */
 public final class InstanceRig implements Closeable {
     private static final int TIMEOUT_S = 30;
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
-    /** Times long enough that a slow machine makes no exchange late; a story that waits for one shortens them. */
+    /** The times are so long that no exchange is late on a slow machine; a test that needs a timeout shortens them. */
     private static final String SETTINGS = "{\"categories\":["
             + "{\"name\":\"look\",\"effect\":\"free\",\"aimMs\":15000,\"deadlineMs\":30000,\"gain\":1},"
             + "{\"name\":\"note\",\"effect\":\"single_shot\",\"aimMs\":15000,\"deadlineMs\":30000,\"gain\":3}],"
@@ -36,7 +41,7 @@
     public final FakeInterpreter interpreter = new FakeInterpreter();
     public final FakeMembership membership = new FakeMembership();
     public final List<String> log = new ArrayList<>();
-    /** Replaced in the configuration before the start. */
+    /** Text replacements in the configuration, from key to value, made when it is written. */
     public final Map<String, String> replacements = new TreeMap<>();
     public int port;
     private final List<Closeable> openStubs = new ArrayList<>();
@@ -47,11 +52,12 @@
         port = Ports.free();
     }
 
+    /** Returns the next element of the queue, or fails after a timeout with {@code what} in the message. */
     public static <T> T awaitNext(BlockingQueue<T> queue, String what) {
         try {
             T got = queue.poll(TIMEOUT_S, TimeUnit.SECONDS);
             if (got == null) {
-                throw new AssertionError("never came: " + what);
+                throw new AssertionError("timed out waiting for " + what);
             }
             return got;
         } catch (InterruptedException e) {
@@ -70,31 +76,32 @@
         return text;
     }
 
-    /** Replaces the configuration by one with these addresses, and says so to the process. */
+    /** Replaces the configuration by one with these addresses and signals the process to reload it. */
     public void replaceConfiguration(FakeInterpreter interpreter, FakeMembership membership) throws IOException {
         replaceConfiguration(configuration(interpreter.port(), membership));
     }
 
-    /** The same for an interpreter that is to be found at a port of the test's own. */
-    public void replaceConfiguration(int interpreter) throws IOException {
-        replaceConfiguration(configuration(interpreter, membership));
+    /** Replaces the configuration by one with this port of the interpreter and signals the process to reload it. */
+    public void replaceConfiguration(int interpreterPort) throws IOException {
+        replaceConfiguration(configuration(interpreterPort, membership));
     }
 
+    /** Replaces the configuration file and signals the process to reload it. */
     public void replaceConfiguration(String text) throws IOException {
         Files.writeString(configFile, text);
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start();
     }
 
-    /** Starts the program as a process of its own and does not wait for it. */
+    /** Starts the instance as a process and returns at once. */
     public InstanceRig start() throws IOException {
         String path = System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"));
-        // As the deployed command does: whoever starts the tests may ignore SIGHUP, and their verdict is the same.
+        // As in the deployed command: the result must not depend on whether the parent of the tests ignores SIGHUP.
         return start(new ProcessBuilder("env", "--default-signal=HUP,TERM",
                 System.getProperty("java.home") + "/bin/java",
                 "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx64m", "-cp", path, "vetchrill.Main", "serve"));
     }
 
-    /** The same by another command. */
+    /** Starts the instance with another command. */
     public InstanceRig start(ProcessBuilder builder) throws IOException {
         configFile = Files.createTempFile("vetchrill", ".json");
         Files.writeString(configFile, configuration(interpreter.port(), membership));
@@ -112,7 +119,7 @@
                     }
                 }
             } catch (IOException e) {
-                // The process is gone.
+                // The process has ended.
             }
         });
         reader.setDaemon(true);
@@ -120,31 +127,34 @@
         return this;
     }
 
-    /** Starts it and waits until it reports that it is well. */
+    /** Starts the instance and waits until it reports that it is healthy. */
     public InstanceRig startHealthy() throws IOException {
         start();
-        if (!awaitNext(membership.phases, "a report").equals("UP")) {
-            throw new AssertionError("not well from the start");
+        if (!awaitNext(membership.phases, "a health report").equals("UP")) {
+            throw new AssertionError("the first report is not healthy");
         }
         return this;
     }
 
+    /** Sends SIGTERM. */
     public void terminate() {
         process.toHandle().destroy();
     }
 
+    /** Sends SIGKILL and waits for the end of the process. */
     public void kill() throws InterruptedException {
         process.destroyForcibly().waitFor();
     }
 
-    /** STOP and CONT, say. */
+    /** Sends a signal by name, such as STOP or CONT. */
     public void signal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
     }
 
+    /** Waits for the process to exit and returns its exit code. */
     public int awaitExit() throws InterruptedException {
         if (!process.waitFor(TIMEOUT_S, TimeUnit.SECONDS)) {
-            throw new AssertionError("never ended");
+            throw new AssertionError("the process did not exit in time");
         }
         return process.exitValue();
     }
@@ -159,16 +169,18 @@
         }
     }
 
+    /** Waits until the log contains {@code part}. */
     public void awaitLog(String part) throws InterruptedException {
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (!logText().contains(part)) {
             if (System.nanoTime() > deadlineNanos) {
-                throw new AssertionError("never logged: " + part + "\n" + logText());
+                throw new AssertionError("not logged in time: " + part + "\n" + logText());
             }
             Thread.sleep(20);
         }
     }
 
+    /** Opens a connection to the instance, closed with the rig. */
     public StubClient connectStub() throws IOException {
         StubClient stub = new StubClient(port);
         openStubs.add(stub);
@@ -188,9 +200,9 @@
         membership.fake.close();
     }
 
-    /** The lab's interpreter, whose runs are answered by the test. */
+    /** A fake interpreter whose runs the test ends. */
     public static final class FakeInterpreter {
-        /** APPLY and CONNECT as they came, the body after the line. */
+        /** The APPLY and CONNECT commands received, with the body after the line. */
         public final BlockingQueue<String> commands = new LinkedBlockingQueue<>();
         public volatile boolean withholdsGauges;
         public volatile boolean withholdsBanner;
@@ -226,7 +238,7 @@
             };
         }
 
-        /** The same interpreter at another address: its notices and their numbers carry on. */
+        /** Moves the interpreter to another port; its notices and their numbers are kept. */
         public FakeInterpreter moveToNewPort() throws IOException {
             return new FakeInterpreter(fake);
         }
@@ -235,11 +247,12 @@
             return fake.port();
         }
 
+        /** Sends a banner and the notices with numbers above {@code after}. */
         public void banner(int after) throws IOException {
             fake.banner(after);
         }
 
-        /** Tells how a run ended; kept while there is no link. */
+        /** Ends a run with a result; the notice is kept while there is no link. */
         public void value(String id, String outcome, String result) {
             fake.value(id, outcome, 125, result.getBytes(StandardCharsets.ISO_8859_1));
         }
@@ -253,8 +266,9 @@
         }
     }
 
-    /** The lab's membership service, with what it was told as the tests want to read it. */
+    /** A fake membership service that records the reports it receives. */
     public static final class FakeMembership {
+        /** The phases reported for this instance; a report under another name is recorded as the whole call. */
         public final BlockingQueue<String> phases = new LinkedBlockingQueue<>();
         public final vetchrill.standin.Membership fake;
 
@@ -267,17 +281,18 @@
             return fake.port();
         }
 
-        /** Skips reports until one of this phase comes. */
+        /** Skips reports until one with this phase arrives. */
         public void awaitPhase(String phase) {
-            String received = awaitNext(phases, "a report");
+            String received = awaitNext(phases, "a health report");
             while (!received.equals(phase)) {
-                received = awaitNext(phases, "a report " + phase);
+                received = awaitNext(phases, "a health report " + phase);
             }
         }
     }
 
-    /** One connection of a client stub. */
+    /** A client stub with one connection. */
     public static final class StubClient implements Closeable {
+        /** A received frame: the first byte of its payload as {@code code}, the others as {@code rest}. */
         public record Frame(int type, int stream, int code, String rest) {
         }
 
@@ -297,16 +312,17 @@
             return StubFrames.frame(type, stream, payload);
         }
 
-        /** Fields given as name, value, name, value. */
+        /** Builds a payload from the body and fields, given as name, value, name, value. */
         public static byte[] payload(String body, String... fields) {
             return StubFrames.payload(body.getBytes(StandardCharsets.ISO_8859_1), fields);
         }
 
+        /** Builds an exchange that arrives now. */
         public static byte[] exchange(int stream, String group, String id, String body) {
             return exchange(stream, group, id, body, System.currentTimeMillis());
         }
 
-        /** The same that came to the machine at a time in Unix milliseconds. */
+        /** Builds an exchange that arrived at the host at a time in Unix milliseconds. */
         public static byte[] exchange(int stream, String group, String id, String body, long arrivedAtMs) {
             return frame(2, stream, payload(body, "method", group, "rid", id, "t0", Long.toString(arrivedAtMs),
                     "peer", "4", "acct", "acme", "mem", "24.5",
@@ -321,18 +337,19 @@
             send(exchange(stream, group, id, body));
         }
 
+        /** Sends a health check and returns the code of its answer, or -1 if another frame comes. */
         public int checkHealth() throws IOException {
             send(frame(16, 1, payload("")));
             Frame frame = read();
             return frame.type == 32 ? frame.code : -1;
         }
 
-        /** The next frame, or null at the end of the connection. */
+        /** Reads the next frame; null at the end of the connection. */
         public Frame read() throws IOException {
             int length;
             try {
                 length = in.readInt();
-            } catch (java.io.EOFException | java.net.SocketException e) {
+            } catch (EOFException | SocketException e) {
                 return null;
             }
             int type = in.readUnsignedByte();
@@ -348,5 +365,4 @@
             socket.close();
         }
     }
-
 }
