--- a/instance/src/main/java/vetchrill/control/Deployment.java
+++ b/instance/src/main/java/vetchrill/control/Deployment.java
@@ -14,7 +14,7 @@
     public enum LoadHint { NONE, MIN_RANK, TOKENS }
 
     public List<EndpointGroup> groups;
-    /** By customer: exchanges a second within its share, over all servers. */
+    /** By customer: exchanges a second within its share, over all instances. */
     public double[] allowancePerSecond;
     /** Share of the benefit that exchanges beyond their customer's share keep. */
     public double benefitBeyondShare;
@@ -22,7 +22,7 @@
     public boolean benefitScalesWithWork;
     public int serverCount;
     public int callerCount;
-    /** Whether the callers are servers of the tier above, with pending queues of their own. */
+    /** Whether the callers are instances of the tier above, with pending queues of their own. */
     public boolean backendTier;
     /** Whether callers mark their retries as such. */
     public boolean callersMarkRetries;
@@ -36,15 +36,15 @@
     public long hostQuantum;
     public Preemption preemption;
     public LoadHint loadHint;
-    /** Whether all servers call the same dependency, so that each must keep to its quota. */
+    /** Whether all instances call the same dependency, so that each must keep to its quota. */
     public boolean sharedDependency;
-    /** Average calls in flight that are this server's part of what a shared dependency withstands. */
+    /** Average calls in flight that are this instance's part of what a shared dependency withstands. */
     public double callQuota;
     /** Time over which the calls in flight are averaged. */
     public long callQuotaWindow;
     /** Time for which an abandoned call still loads the dependency. */
     public long abandonedCallLinger;
-    /** Whether callers find servers through a list that leaves out unhealthy ones. */
+    /** Whether callers find instances through a list that leaves out unhealthy ones. */
     public boolean discoveryFollowsHealth;
     /** Whether the cores start at {@link #coldSpeedRatio} and reach their full speed in {@link #warmUpTime}. */
     public boolean startsCold;
--- a/instance/src/main/java/vetchrill/control/Exchange.java
+++ b/instance/src/main/java/vetchrill/control/Exchange.java
@@ -28,7 +28,7 @@
     public double sizeKb;
     /** Version of the settings that applies to it from its arrival to its end; 0 where there are none. */
     public long version;
-    /** Whether it was attempted before, here or at another server; never set where callers do not mark retries. */
+    /** Whether it was attempted before, here or at another instance; never set where callers do not mark retries. */
     public boolean retry;
     /** Whether it repeats an exchange with a stored key: {@link #original}, or null if that is no longer known. */
     public boolean repeat;
--- a/instance/src/main/java/vetchrill/control/Host.java
+++ b/instance/src/main/java/vetchrill/control/Host.java
@@ -12,7 +12,7 @@
      * Gives the final answer that the exchange is rejected, which promises that it never took effect.
      *
      * @param retryAfter the retry-after delay, 0 for none
-     * @param noRetry whether the caller is asked not to retry at another server either
+     * @param noRetry whether the caller is asked not to retry at another instance either
      */
     void reject(Exchange ex, long retryAfter, boolean noRetry);
 
--- a/instance/src/main/java/vetchrill/control/OverloadController.java
+++ b/instance/src/main/java/vetchrill/control/OverloadController.java
@@ -35,16 +35,16 @@
     /** Share of the memory past which pending exchanges are shed; the rest is for what is read within one tick. */
     private static final double PENDING_MEMORY_LIMIT_RATIO = 0.92;
 
-    /** Longest time in the pending queue: wait estimates are inexact, and another server may be free. */
+    /** Longest time in the pending queue: wait estimates are inexact, and another instance may be free. */
     private static final double MAX_PENDING_SLO_RATIO = 0.6;
     /** Shorter on a backend tier: the callers have pending queues of their own and can often skip the call. */
     private static final double BACKEND_MAX_PENDING_SLO_RATIO = 0.15;
 
-    /** Share of the cpu below which the run limit may grow and above which idle connections are closed sooner. */
+    /** The run limit grows only below this, and idle connections close sooner above it; set by the service design. */
     private static final double CPU_BUSY_RATIO = 0.9;
-    /** Runnable threads per core past which more runs do not raise the throughput. */
+    /** Runnable tasks per core past which more runs do not raise the throughput. */
     private static final double SATURATED_RUNNABLE_PER_CORE = 1.3;
-    /** Weight of a new sample in the average number of runnable threads. */
+    /** Weight of a new sample in the average number of runnable tasks. */
     private static final double RUNNABLE_SMOOTHING_RATIO = 0.3;
     /** Share of the sustainable runs that is used. */
     private static final double SUSTAINABLE_RUNS_USED_RATIO = 0.8;
@@ -82,11 +82,11 @@
     private static final long MAX_UNHEALTHY_TENTHS_MS = 50_000;
     /** Shortest time between two unhealthy periods, so that a fleet does not become unhealthy as a whole. */
     private static final long MIN_HEALTHY_TENTHS_MS = 12_500;
-    /** Arrivals above this multiple of this server's part of all allowances: the other servers are full as well. */
+    /** Arrivals above this multiple of this instance's part of all allowances: the other instances are full as well. */
     private static final double HIGH_ARRIVALS_RATIO = 1.3;
-    /** With fewer completions per arrival, a server that reads too late is of no more use than a dead one. */
+    /** With fewer completions per arrival, an instance that reads too late is of no more use than a dead one. */
     private static final double MIN_COMPLETION_RATIO = 0.1;
-    /** Below this cpu usage an unhealthy server has caught up; staying out longer only overloads the others. */
+    /** Below this cpu usage an unhealthy instance has caught up; staying out longer only overloads the others. */
     private static final double RECOVERED_CPU_RATIO = 0.6;
     /** Runs are failing when more than this many, and more than have completed, have failed recently. */
     private static final double FAILING_MIN_FAILED_RUNS = 3;
@@ -105,14 +105,14 @@
     /** Measured core time as a percentage of the declared one, before any is measured. */
     private static final double ASSUMED_PERCENT_OF_DECLARED = 150;
 
-    /** Average cost of reading a rejected exchange at the next servers, in runs, at which retries are forbidden. */
+    /** Average cost of reading a rejected exchange at the next instances, in runs, at which retries are forbidden. */
     private static final double MAX_RETRY_READ_COST_RUN_RATIO = 0.5;
     /** Quantile of the read delay that stands for the cost of reading. */
     private static final double READ_COST_QUANTILE_RATIO = 0.25;
     /** Arrivals above the allowance raise the probability to forbid a retry, up to this multiple of the allowance. */
     private static final double MAX_ARRIVAL_INCREASE_RATIO = 2;
     private static final double ARRIVAL_INCREASE_EXPONENT = 4;
-    /** Share of marked retries among recent arrivals at which all servers must be full. */
+    /** Share of marked retries among recent arrivals at which all instances must be full. */
     private static final double ALL_FULL_RETRY_RATIO = 0.4;
     /** Weight of a new arrival in the share of retries. */
     private static final double RETRY_SMOOTHING_RATIO = 0.05;
@@ -184,8 +184,8 @@
     private double completionRate;
     /** Share of retries among recent arrivals. */
     private double retryRatio;
-    /** This server's part of the allowances of all customers, in exchanges a second. */
-    private final double allowancePerServer;
+    /** This instance's part of the allowances of all customers, in exchanges a second. */
+    private final double allowancePerInstance;
     /** When each abandoned call is expected to end at the shared dependency. */
     private final ArrayDeque<Long> abandonedCallsEndAt = new ArrayDeque<>();
     private int callsInFlight;
@@ -227,7 +227,7 @@
         reportedIdleTime = idleTime;
         reportedLoadHint = deployment.loadHint == Deployment.LoadHint.TOKENS ? MAX_TOKENS : 0;
         arrivalRateByCustomer = new double[deployment.allowancePerSecond.length];
-        allowancePerServer = Arrays.stream(deployment.allowancePerSecond).sum() / deployment.serverCount;
+        allowancePerInstance = Arrays.stream(deployment.allowancePerSecond).sum() / deployment.serverCount;
         shortestSloTime = deployment.groups.stream().mapToLong(group -> group.sloTime).min().orElse(Long.MAX_VALUE);
     }
 
@@ -362,7 +362,7 @@
      * Samples the gauges; the answer to {@link Host#scheduleTick}.
      *
      * @param cpuUsage from 0 to 1
-     * @param runnable threads that run or wait for a core
+     * @param runnable tasks that run or wait for a core
      */
     public void onTick(double cpuUsage, double runnable, double openConnections, long now) {
         markChanged(now);
@@ -450,7 +450,7 @@
     private void updateLimitsAndHealth() {
         // As in the service design, the run limit rises while cores are idle although work is pending, and falls when
         // runs only slow each other down. Where another process takes cores, the cpu usage alone never reaches the
-        // busy mark; the number of runnable threads shows it.
+        // busy mark; the number of runnable tasks shows it.
         boolean coresIdle = cpuUsage < CPU_BUSY_RATIO
                 && averageRunnable < SATURATED_RUNNABLE_PER_CORE * deployment.cores;
         if (coresIdle && !pending.isEmpty() && running.size() >= (int) runLimit) {
@@ -460,7 +460,7 @@
             runLimit--;
         }
         // Runs and reading share the cores. Once exchanges wait long before they are read, callers time out and retry,
-        // until the server does nothing but read. With fewer runs it can reject in time.
+        // until the instance does nothing but read. With fewer runs it can reject in time.
         if (averageReadDelay > shortestSloTime / READ_DELAY_LIMIT_SLO_DIVISOR) {
             runLimit = Math.max(MIN_RUNS_PER_CORE * deployment.cores, runLimit - 1);
         } else if (runLimit < deployment.cores
@@ -468,19 +468,19 @@
             runLimit++;
         }
         runLimit = Math.min(runLimit, Math.max(1, maxSustainableRuns()));
-        // An assumed run time is mixed in, as a server that has seen few runs may have seen only short ones.
+        // An assumed run time is mixed in, as an instance that has seen few runs may have seen only short ones.
         double usualRunTime = (coreTime.mean(0) * coreTime.count()
                 + shortestSloTime / ASSUMED_RUN_SLO_DIVISOR * ASSUMED_RUN_COUNT)
                 / (coreTime.count() + ASSUMED_RUN_COUNT);
         runsStuck = !running.isEmpty() && now - lastProgressAt > Math.max(MIN_STUCK_TENTHS_MS,
                 (STUCK_RUN_TIME_RATIO + STUCK_SINGLE_RUN_EXTRA_RATIO / running.size()) * usualRunTime);
         // Exchanges are already late when they are read, so that no rejection reaches its caller in time. That makes
-        // the server unhealthy in two cases: the arrivals are as usual, so that only this machine is slow; or almost
+        // the instance unhealthy in two cases: the arrivals are as usual, so that only this machine is slow; or almost
         // nothing completes, so that nothing is lost without it.
         boolean readingTooLate = averageReadDelay > shortestSloTime * coreSpeedRatio()
-                && (arrivalRate < HIGH_ARRIVALS_RATIO * allowancePerServer
+                && (arrivalRate < HIGH_ARRIVALS_RATIO * allowancePerInstance
                 || completionRate < MIN_COMPLETION_RATIO * arrivalRate);
-        // Runs that fail at once free their slots at once: such a server would attract exchanges that others could
+        // Runs that fail at once free their slots at once: such an instance would attract exchanges that others could
         // complete.
         runsFailing = runFailures > FAILING_MIN_FAILED_RUNS && runFailures > runSuccesses;
         if ((runsStuck || readingTooLate || runsFailing) && now >= unhealthyUntil + MIN_HEALTHY_TENTHS_MS) {
@@ -695,8 +695,8 @@
     }
 
     /**
-     * Whether one more call keeps within this server's quota, abandoned calls included. A shared dependency withstands
-     * all servers together only if each keeps to its own quota.
+     * Whether one more call keeps within this instance's quota, abandoned calls included. A shared dependency
+     * withstands all instances together only if each keeps to its own quota.
      */
     private boolean callQuotaLeft() {
         if (!deployment.sharedDependency) {
@@ -792,16 +792,16 @@
     }
 
     /**
-     * Whether the caller of a rejected exchange is asked not to retry it at another server; random, with a probability
-     * that grows with the load of the fleet. Where callers mark retries, these are few as long as only this server is
-     * short. Where they don't, retries must not cost the other servers more than they can bring: the read delay shows
-     * what reading costs, and arrivals above the configured allowance show that retries bring less.
+     * Whether the caller of a rejected exchange is asked not to retry it at another instance; random, with a
+     * probability that grows with the load of the fleet. Where callers mark retries, these are few as long as only this
+     * instance is overloaded. Where they don't, retries must not cost the other instances more than they can bring: the
+     * read delay shows what reading costs, and arrivals above the configured allowance show that retries bring less.
      */
     private boolean shouldForbidRetry() {
         double probability = retryRatio / ALL_FULL_RETRY_RATIO;
         if (!deployment.callersMarkRetries) {
             double arrivalIncrease = Math.min(MAX_ARRIVAL_INCREASE_RATIO,
-                    Math.max(1, arrivalRate / Math.max(1, allowancePerServer)));
+                    Math.max(1, arrivalRate / Math.max(1, allowancePerInstance)));
             probability = readDelay.quantile(READ_COST_QUANTILE_RATIO, 0) / coreTime.mean(Double.MAX_VALUE)
                     / MAX_RETRY_READ_COST_RUN_RATIO * Math.pow(arrivalIncrease, ARRIVAL_INCREASE_EXPONENT);
         }
--- a/instance/src/test/java/vetchrill/control/DecisionsTest.java
+++ b/instance/src/test/java/vetchrill/control/DecisionsTest.java
@@ -165,7 +165,7 @@
         assertTrue(scenario.decide().contains("begin next"));
     }
 
-    public void failingServerRejectsAllButAProbeUntilOneCompletes() {
+    public void failingInstanceRejectsAllButAProbeUntilOneCompletes() {
         ControllerScenario scenario = new ControllerScenario();
         for (int i = 0; i < 5; i++) {
             Exchange bad = scenario.arrive("bad", scenario.repeatable);
@@ -200,7 +200,7 @@
                 .anyMatch(action -> action.equals("unhealthy") || action.startsWith("reject")));
     }
 
-    public void unhealthyWhenExchangesAreReadTooLateButNotWhenAllServersAreFull() {
+    public void unhealthyWhenExchangesAreReadTooLateButNotWhenAllInstancesAreFull() {
         assertTrue(arriveForFourSeconds(10, 5 * SECOND, 0).contains("unhealthy"));
         assertFalse(arriveForFourSeconds(60, 5 * SECOND, 0).contains("unhealthy"));
     }
@@ -242,7 +242,7 @@
         assertTrue(scenario.advance(100 * MS).contains("healthy"));
     }
 
-    public void coldServerTurnsUnhealthyAtAShorterReadDelay() {
+    public void coldInstanceTurnsUnhealthyAtAShorterReadDelay() {
         for (boolean cold : new boolean[] {false, true}) {
             ControllerScenario scenario = new ControllerScenario();
             scenario.deployment.discoveryFollowsHealth = true;
@@ -282,9 +282,9 @@
     public void retriesAreForbiddenWhenReadingIsExpensiveAndAlwaysOnceArrivalsRise() {
         assertEquals(noRetryRatio(arriveForFourSeconds(60, 200 * MS, 2)), 1, 0.2);
         assertTrue(noRetryRatio(arriveForFourSeconds(60, 2 * MS, 2)) < 0.2,
-                "reading is cheap: retries at other servers are allowed");
+                "reading is cheap: retries at other instances are allowed");
         double ratio = noRetryRatio(arriveForFourSeconds(16, 100 * MS, 2));
-        assertTrue(ratio > 0.2 && ratio < 0.8, "only this server is slow, but reading is expensive: " + ratio);
+        assertTrue(ratio > 0.2 && ratio < 0.8, "only this instance is slow, but reading is expensive: " + ratio);
     }
 
     /** Share of the rejections that forbid a retry, up to shortly before the blocked runs count as stuck. */
@@ -294,9 +294,9 @@
                 / actions.stream().filter(action -> action.startsWith("reject")).count();
     }
 
-    public void manyMarkedRetriesMeanThatOtherServersAreFullToo() {
+    public void manyMarkedRetriesMeanThatOtherInstancesAreFullToo() {
         assertTrue(noRetryRatioWithMarkedRetries(2) > 0.9);
-        assertTrue(noRetryRatioWithMarkedRetries(50) < 0.2, "only this server is full");
+        assertTrue(noRetryRatioWithMarkedRetries(50) < 0.2, "only this instance is full");
     }
 
     private static double noRetryRatioWithMarkedRetries(int retryEvery) {
