--- a/instance/src/main/java/vetchrill/protocol/Fields.java
+++ b/instance/src/main/java/vetchrill/protocol/Fields.java
@@ -108,8 +108,8 @@
             return -1;
         }
         long value = 0;
-        for (int at = valueFrom[i]; at < valueFrom[i] + valueSize[i]; at++) {
-            int digit = buf[at] - '0';
+        for (int position = valueFrom[i]; position < valueFrom[i] + valueSize[i]; position++) {
+            int digit = buf[position] - '0';
             if (digit < 0 || digit > 9) {
                 return -1;
             }
@@ -124,8 +124,8 @@
         if (text == null || text.isEmpty() || text.length() > MAX_NUMBER_CHARS) {
             return Double.NaN;
         }
-        for (int at = 0; at < text.length(); at++) {
-            char c = text.charAt(at);
+        for (int position = 0; position < text.length(); position++) {
+            char c = text.charAt(position);
             if ((c < '0' || c > '9') && c != '.' && c != 'e' && c != '-' && c != '+') {
                 return Double.NaN;
             }
--- a/instance/src/main/java/vetchrill/protocol/Frames.java
+++ b/instance/src/main/java/vetchrill/protocol/Frames.java
@@ -40,8 +40,9 @@
     private Frames() {
     }
 
-    static int readInt(byte[] buf, int at) {
-        return (buf[at] & 0xff) << 24 | (buf[at + 1] & 0xff) << 16 | (buf[at + 2] & 0xff) << 8 | buf[at + 3] & 0xff;
+    static int readInt(byte[] buf, int offset) {
+        return (buf[offset] & 0xff) << 24 | (buf[offset + 1] & 0xff) << 16 | (buf[offset + 2] & 0xff) << 8
+                | buf[offset + 3] & 0xff;
     }
 
     /** Answers with a result, which is copied from the slice because the answer may be queued until its peer reads. */
@@ -85,12 +86,12 @@
         byte[] frame = newFrame(ANSWER, stream, payloadBytes);
         frame[OUTCOME_OFFSET] = DENIED;
         frame[FIELD_COUNT_OFFSET] = (byte) ((retryAfterMs > 0 ? 1 : 0) + (finalDenial ? 1 : 0));
-        int at = FIELDS_OFFSET;
+        int offset = FIELDS_OFFSET;
         if (retryAfterMs > 0) {
-            at = writeField(frame, at, BACKOFF_FIELD, delayText);
+            offset = writeField(frame, offset, BACKOFF_FIELD, delayText);
         }
         if (finalDenial) {
-            writeField(frame, at, FINAL_FIELD, new byte[] {'1'});
+            writeField(frame, offset, FINAL_FIELD, new byte[] {'1'});
         }
         return frame;
     }
@@ -107,14 +108,14 @@
         return newFrame(GO_AWAY, 0, 0);
     }
 
-    private static int writeField(byte[] frame, int at, byte[] name, byte[] value) {
-        frame[at] = (byte) name.length;
-        System.arraycopy(name, 0, frame, at + 1, name.length);
-        int valueAt = at + 1 + name.length;
-        frame[valueAt] = (byte) (value.length >> 8);
-        frame[valueAt + 1] = (byte) value.length;
-        System.arraycopy(value, 0, frame, valueAt + 2, value.length);
-        return valueAt + 2 + value.length;
+    private static int writeField(byte[] frame, int offset, byte[] name, byte[] value) {
+        frame[offset] = (byte) name.length;
+        System.arraycopy(name, 0, frame, offset + 1, name.length);
+        int valueOffset = offset + 1 + name.length;
+        frame[valueOffset] = (byte) (value.length >> 8);
+        frame[valueOffset + 1] = (byte) value.length;
+        System.arraycopy(value, 0, frame, valueOffset + 2, value.length);
+        return valueOffset + 2 + value.length;
     }
 
     private static byte[] newFrame(int type, int stream, int payloadBytes) {
@@ -125,10 +126,10 @@
         return frame;
     }
 
-    private static void writeInt(byte[] frame, int at, int value) {
-        frame[at] = (byte) (value >> 24);
-        frame[at + 1] = (byte) (value >> 16);
-        frame[at + 2] = (byte) (value >> 8);
-        frame[at + 3] = (byte) value;
+    private static void writeInt(byte[] frame, int offset, int value) {
+        frame[offset] = (byte) (value >> 24);
+        frame[offset + 1] = (byte) (value >> 16);
+        frame[offset + 2] = (byte) (value >> 8);
+        frame[offset + 3] = (byte) value;
     }
 }
--- a/instance/src/main/java/vetchrill/transport/Limits.java
+++ b/instance/src/main/java/vetchrill/transport/Limits.java
@@ -70,7 +70,7 @@
     public final long maxRetryPauseTenthsMs = 2_000;
     /** Several reports fit into the 3 s after which a membership entry expires, so some may be lost or unanswered. */
     public final long reportIntervalTenthsMs = 8_000;
-    /** A change of health waits for a report in progress, which bounds the wait for its answer. */
+    /** A change of health is not sent while a report is in progress, so no response is awaited longer than this. */
     public final long reportTimeoutTenthsMs = 3_000;
     public final long reportRetryTenthsMs = 2_000;
     /**
--- a/lab/src/test/java/vetchrill/InstanceRig.java
+++ b/lab/src/test/java/vetchrill/InstanceRig.java
@@ -52,14 +52,14 @@
         port = Ports.free();
     }
 
-    /** Returns the next element of the queue, or fails after a timeout with {@code what} in the message. */
-    public static <T> T awaitNext(BlockingQueue<T> queue, String what) {
+    /** Returns the next element of the queue, or fails after a timeout with the description in the message. */
+    public static <T> T awaitNext(BlockingQueue<T> queue, String description) {
         try {
-            T got = queue.poll(TIMEOUT_S, TimeUnit.SECONDS);
-            if (got == null) {
-                throw new AssertionError("timed out waiting for " + what);
+            T element = queue.poll(TIMEOUT_S, TimeUnit.SECONDS);
+            if (element == null) {
+                throw new AssertionError("timed out waiting for " + description);
             }
-            return got;
+            return element;
         } catch (InterruptedException e) {
             throw new AssertionError(e);
         }
@@ -169,12 +169,12 @@
         }
     }
 
-    /** Waits until the log contains {@code part}. */
-    public void awaitLog(String part) throws InterruptedException {
+    /** Waits until the log contains the text. */
+    public void awaitLog(String text) throws InterruptedException {
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
-        while (!logText().contains(part)) {
+        while (!logText().contains(text)) {
             if (System.nanoTime() > deadlineNanos) {
-                throw new AssertionError("not logged in time: " + part + "\n" + logText());
+                throw new AssertionError("not logged in time: " + text + "\n" + logText());
             }
             Thread.sleep(20);
         }
@@ -193,8 +193,8 @@
             process.destroyForcibly();
             Files.delete(configFile);
         }
-        for (Closeable each : openStubs) {
-            each.close();
+        for (Closeable stub : openStubs) {
+            stub.close();
         }
         interpreter.fake.close();
         membership.fake.close();
--- a/lab/src/test/java/vetchrill/transport/LingeringCloseTest.java
+++ b/lab/src/test/java/vetchrill/transport/LingeringCloseTest.java
@@ -63,10 +63,10 @@
         connection.start(new Connection.InputHandler() {
             @Override
             public int consume(byte[] buf, int from, int to) {
-                for (int at = from; at < to; at++) {
-                    if (buf[at] == '\n') {
-                        received.add(new String(buf, from, at - from));
-                        return at + 1 - from;
+                for (int position = from; position < to; position++) {
+                    if (buf[position] == '\n') {
+                        received.add(new String(buf, from, position - from));
+                        return position + 1 - from;
                     }
                 }
                 return buf[from] == '!' ? -1 : 0;
