--- a/instance/src/main/java/vetchrill/Main.java
+++ b/instance/src/main/java/vetchrill/Main.java
@@ -8,6 +8,7 @@
 import vetchrill.wire.WireFormatException;
 import vetchrill.wire.WireHost;
 
+/** Entry point: {@code wirehost} decides for simulated instances, {@code serve} runs one instance on sockets. */
 public final class Main {
     private Main() {
     }
@@ -31,7 +32,7 @@
                 System.err.println("usage: java -jar vetchrill.jar wirehost|serve");
                 System.err.println("  wirehost   decide for the instances on the wire: batches on standard input,");
                 System.err.println("             replies on standard output, until the input ends");
-                System.err.println("  serve      be one instance on sockets, as GW_CONFIG says, until SIGTERM");
+                System.err.println("  serve      run one instance on sockets, configured by GW_CONFIG, until SIGTERM");
                 System.exit(2);
             }
         }
--- a/instance/src/main/java/vetchrill/program/ConsoleLog.java
+++ b/instance/src/main/java/vetchrill/program/ConsoleLog.java
@@ -6,8 +6,8 @@
 import java.util.ResourceBundle;
 
 /**
- * One line for each record on standard output. The runtime's own logging closes its handlers in a hook of its own
- * when the process ends, and takes a tenth of a second to load on a shared core.
+ * Logger that writes one line per record to standard output. It replaces java.util.logging, which closes its handlers
+ * in a shutdown hook of its own and takes a tenth of a second to load on a shared core.
  */
 public final class ConsoleLog extends System.LoggerFinder {
     private static final System.Logger.Level MIN_LEVEL = configuredLevel();
--- a/instance/src/main/java/vetchrill/program/DrainStep.java
+++ b/instance/src/main/java/vetchrill/program/DrainStep.java
@@ -4,20 +4,30 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongFunction;
-import vetchrill.routing.ProcessingChain;
 import vetchrill.routing.Clock;
+import vetchrill.routing.ProcessingChain;
 import vetchrill.transport.Limits;
 
-/** One step of the end: what is done at a time, in tenths of a millisecond on the chain's clock. */
+/**
+ * One step of the drain.
+ *
+ * @param at when it is due, in tenths of a millisecond on the chain's clock
+ * @param action what is done then
+ */
 public record DrainStep(long at, Runnable action) {
-    /** All steps in their order, the first at once; the notice came at {@code leftAt}. */
+    /**
+     * All steps in their order, the first of them due at once.
+     *
+     * @param drainNoticeAt when the drain was requested
+     * @param stopAt when the process has to have exited
+     * @param onFinished run once all answers are written or no time is left for them
+     */
     public static List<DrainStep> steps(Limits limits, ProcessingChain chain, long drainNoticeAt, long stopAt,
-            Runnable closeListener,
-            Runnable onFinished) {
+            Runnable closeListener, Runnable onFinished) {
         return List.of(
                 new DrainStep(0, () -> chain.beginDrain(stopAt, drainNoticeAt)),
-                // Whoever does not know yet goes on connecting, and what it sends then would come as the reading ends:
-                // a connection that is refused says that nothing ran, one that is closed says nothing.
+                // Stubs that don't know of the drain go on connecting, and would send requests just as reading ends. A
+                // refused connection tells them that nothing ran; a closed one leaves that open.
                 new DrainStep(stopAt - limits.stopAcceptingLeadTenthsMs, chain::stopWaitingForSlots),
                 new DrainStep(stopAt - limits.stopAcceptingLeadTenthsMs, closeListener),
                 new DrainStep(stopAt - limits.stopAcceptingLeadTenthsMs, chain::drainConnections),
@@ -26,8 +36,9 @@
     }
 
     /**
-     * Takes the steps in their time. A configuration that is read meanwhile may tell an earlier stop, which then holds;
-     * a later one is not believed, as whoever ends this process may go by the one that held at the notice.
+     * Runs the steps when they are due. A configuration that is reloaded meanwhile can move the stop forward. A later
+     * stop is ignored, since whoever ends this process may go by the one that was configured when the drain was
+     * requested.
      */
     static void runAll(Clock clock, long drainNoticeAt, long drainTime, LinkedBlockingQueue<Long> reloadedDrainTimes,
             LongFunction<List<DrainStep>> stepsUntil) throws InterruptedException {
--- a/instance/src/main/java/vetchrill/program/InstanceRunner.java
+++ b/instance/src/main/java/vetchrill/program/InstanceRunner.java
@@ -11,43 +11,49 @@
 import java.util.function.LongFunction;
 import java.util.function.LongSupplier;
 import vetchrill.protocol.MembershipCall;
-import vetchrill.routing.ProcessingChain;
 import vetchrill.routing.Clock;
 import vetchrill.routing.DecisionThread;
+import vetchrill.routing.ProcessingChain;
 import vetchrill.routing.Recorder;
 import vetchrill.transport.Limits;
 import vetchrill.transport.Listener;
 import vetchrill.transport.Resources;
 
-/** One instance from its start to the end of its drain. */
+/** Runs one instance from its start to the end of its drain. */
 public final class InstanceRunner {
     private static final System.Logger LOG = System.getLogger("vetchrill");
 
     private InstanceRunner() {
     }
 
-    /** Serves until SIGTERM has been followed to its end; what the process exits with. */
+    /** Serves until the drain that follows SIGTERM has ended; returns the exit code of the process. */
     public static int run(Map<String, String> environment) {
         return run(environment, null);
     }
 
-    /** The same, with what it does written down by {@code recorder} unless that is null. */
+    /** The same with a recorder, which may be null. */
     public static int run(Map<String, String> environment, Recorder recorder) {
         return run(environment, recorder, new Clock(), null);
     }
 
-    /** Who is told of the chain before anything comes to it; what it throws ends the start with 2 and its message. */
+    /** A component that runs beside the chain, such as the exchange of versions with peers. */
     public interface Extension {
+        /**
+         * Called before the chain accepts connections.
+         *
+         * @throws IOException ends the process with exit code 2 and its message
+         * @throws IllegalArgumentException likewise
+         */
         void start(ProcessingChain chain) throws IOException;
 
-        /** On the thread that ends the process, which waits for it. */
+        /** Called on the thread that ends the process, which waits for it. */
         void stop();
     }
 
-    /** The same by a clock, and with something beside it unless that is null. */
+    /** The same with a clock, and with an extension, which may be null. */
     public static int run(Map<String, String> environment, Recorder recorder, Clock clock, Extension extension) {
-        // Before all that takes time: either signal ends a process that has no handler for it yet, and what the system
-        // accepted for it by then would be lost.
+        // First of all: either signal ends a process that has no handler for it yet, and connections that the system
+        // had accepted for it by then would be lost.
         LinkedBlockingQueue<ReceivedSignal> signals = new LinkedBlockingQueue<>();
         List<String> ignoredSignals = installSignalHandlers(signals, clock);
         StartConfiguration configuration;
@@ -80,7 +86,7 @@
             return 2;
         }
         Thread.setDefaultUncaughtExceptionHandler((failedThread, e) -> {
-            // An instance that lost a thread is not to go on half dead while it still reports that it is well.
+            // An instance that has lost a thread must not go on partly working while it still reports good health.
             System.err.println("vetchrill: thread " + failedThread.getName() + " failed");
             e.printStackTrace();
             Runtime.getRuntime().halt(70);
@@ -89,10 +95,10 @@
         AtomicReference<StartConfiguration> current = new AtomicReference<>(configuration);
         LinkedBlockingQueue<Long> reloadedDrainTimes = new LinkedBlockingQueue<>();
         for (String name : ignoredSignals) {
-            // The runtime leaves it so: whoever started this process from under nohup, say, is to hear of it.
-            LOG.log(System.Logger.Level.ERROR, "SIG{0} was ignored by whoever started this process and stays so: "
-                    + (name.equals("HUP") ? "a new configuration" : "the notice to leave") + " is never heard; "
-                    + "start it by env --default-signal=HUP,TERM", name);
+            // The runtime installs no handler then, so whoever started the process, with nohup for example, is warned.
+            LOG.log(System.Logger.Level.ERROR, "SIG{0} was ignored by the parent of this process and remains ignored: "
+                    + (name.equals("HUP") ? "the configuration is never reloaded" : "a drain can''t be requested")
+                    + "; start it with env --default-signal=HUP,TERM", name);
         }
         Resources.newDaemonThread("decisions", () -> {
             try {
@@ -103,11 +109,12 @@
         }, limits.threadStackBytes * 4L).start();
         listener.start();
         chain.start(configuration.interpreterAddress);
-        // Last: what a signal asks for needs all of the above.
+        // Last, since handling a signal needs all of the above.
         Resources.newDaemonThread("signals",
                 () -> handleSignals(signals, reloadedDrainTimes, () -> reloadConfiguration(environment, current, chain),
-                drainNoticeAt -> drainTask(current.get(), drainNoticeAt, clock, chain, listener, reloadedDrainTimes,
-                drained)), limits.threadStackBytes).start();
+                        drainNoticeAt -> drainTask(current.get(), drainNoticeAt, clock, chain, listener,
+                                reloadedDrainTimes, drained)),
+                limits.threadStackBytes).start();
         LOG.log(System.Logger.Level.INFO, "{0} listens on {1}; {2} connections at most, {3} MB", configuration.name,
                 configuration.listenAddress, limits.targetConnections, limits.memoryBytes >> 20);
         try {
@@ -124,11 +131,14 @@
         return 0;
     }
 
-    /** A signal, and when it came. */
+    /** A signal and when it was received. */
     private record ReceivedSignal(String name, long receivedAt) {
     }
 
-    /** Handlers and not a hook at exit, since hooks run beside each other and end with 143. Those that are ignored. */
+    /**
+     * Installs handlers, not shutdown hooks, since hooks run concurrently and the process would exit with 143. Returns
+     * the names of the signals that are ignored.
+     */
     private static List<String> installSignalHandlers(LinkedBlockingQueue<ReceivedSignal> signals, Clock clock) {
         List<String> ignored = new ArrayList<>();
         for (String name : List.of("HUP", "TERM")) {
@@ -142,8 +152,8 @@
     }
 
     /**
-     * A process that drains under the same address holds it to its end: it is waited for, as nothing else would start
-     * this one again. Null where the notice to leave comes first.
+     * Binds the listener. Another process that drains under the same address holds it until it exits; this waits for
+     * that, as nothing else would start this process again. Null if SIGTERM comes first.
      */
     private static Listener bind(StartConfiguration configuration, Limits limits, Clock clock, ProcessingChain chain,
             LinkedBlockingQueue<ReceivedSignal> signals) throws IOException {
@@ -170,12 +180,11 @@
     }
 
     /**
-     * One thread takes signals in their order, so that of two files in a row the later one counts; the drain has its
-     * own, and hears of what is read after the notice only.
+     * Handles all signals in their order on one thread, so that of two configurations in a row the later one applies.
+     * The drain has a thread of its own, and gets only the drain times that are reloaded after it was requested.
      */
     private static void handleSignals(LinkedBlockingQueue<ReceivedSignal> signals,
-            LinkedBlockingQueue<Long> reloadedDrainTimes,
-            LongSupplier reload, LongFunction<Runnable> drain) {
+            LinkedBlockingQueue<Long> reloadedDrainTimes, LongSupplier reload, LongFunction<Runnable> drain) {
         boolean draining = false;
         try {
             while (true) {
@@ -196,8 +205,8 @@
     }
 
     /**
-     * What the instance is and what it was told of its deployment stay; a file of no use changes nothing. The time from
-     * the notice to the stop that holds now.
+     * Applies the service addresses and the drain time of a reloaded configuration; name and settings stay as
+     * they were at the start, and an invalid configuration changes nothing. Returns the drain time that now applies.
      */
     private static long reloadConfiguration(Map<String, String> environment,
             AtomicReference<StartConfiguration> current, ProcessingChain chain) {
@@ -208,19 +217,19 @@
             LOG.log(System.Logger.Level.INFO, "configuration read again: interpreter {0}, members {1}",
                     reloaded.interpreterAddress, reloaded.membershipAddress);
         } catch (IllegalArgumentException e) {
-            LOG.log(System.Logger.Level.ERROR, "configuration not taken: {0}", e.getMessage());
+            LOG.log(System.Logger.Level.ERROR, "configuration rejected: {0}", e.getMessage());
         }
         return current.get().drainTime;
     }
 
-    private static Runnable drainTask(StartConfiguration configuration, long drainNoticeAt, Clock clock, ProcessingChain chain,
-            Listener listener,
-            LinkedBlockingQueue<Long> reloadedDrainTimes, CountDownLatch drained) {
+    private static Runnable drainTask(StartConfiguration configuration, long drainNoticeAt, Clock clock,
+            ProcessingChain chain, Listener listener, LinkedBlockingQueue<Long> reloadedDrainTimes,
+            CountDownLatch drained) {
         return () -> {
             try {
                 DrainStep.runAll(clock, drainNoticeAt, configuration.drainTime, reloadedDrainTimes,
-                        stopAt -> DrainStep.steps(configuration.limits, chain, drainNoticeAt,
-                        stopAt, listener::close, drained::countDown));
+                        stopAt -> DrainStep.steps(configuration.limits, chain, drainNoticeAt, stopAt, listener::close,
+                                drained::countDown));
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 drained.countDown();
--- a/instance/src/test/java/vetchrill/routing/ClockTest.java
+++ b/instance/src/test/java/vetchrill/routing/ClockTest.java
@@ -7,7 +7,7 @@
 
 @Test
 public class ClockTest {
-    /** On its way as the clock was stepped, forward or back: it is as old as it was, and past the grace if it was. */
+    /** The clock steps forward or back between the timestamp and its conversion, which must not change its age. */
     public void timestampTakenBeforeAClockStepKeepsItsTime() {
         for (long step : new long[] {25_000, -25_000}) {
             long[] clocks = {17_645_760_000_000L, 0};
@@ -18,10 +18,10 @@
             long at = clock.now();
             clocks[0] += step + 200;
             clocks[1] += 200;
-            assertEquals(clock.fromWallMillis(before, 600_000), at, "stamped before a step of " + step);
+            assertEquals(clock.fromWallMillis(before, 600_000), at, "timestamp before a step of " + step);
             long now = clock.now();
-            assertEquals(clock.fromWallMillis(clocks[0] / 10, 600_000), now, "stamped after it");
-            assertEquals(clock.fromWallMillis(before, 600_000), at, "stamped before, read later");
+            assertEquals(clock.fromWallMillis(clocks[0] / 10, 600_000), now, "timestamp after the step");
+            assertEquals(clock.fromWallMillis(before, 600_000), at, "timestamp before the step, converted later");
         }
     }
 
--- a/lab/src/test/java/vetchrill/program/InstanceRunnerTest.java
+++ b/lab/src/test/java/vetchrill/program/InstanceRunnerTest.java
@@ -17,155 +17,155 @@
 import vetchrill.InstanceRig;
 import vetchrill.InstanceRig.StubClient;
 
-/** Stories of one instance, started as a process of its own and spoken to over sockets. */
+/** Tests of one instance that runs as a process of its own and is reached over sockets. */
 @Test
 public class InstanceRunnerTest {
     private static final String A = "00000000000000aa";
     private static final String B = "00000000000000bb";
 
     public void exchangeIsRunAndItsResultIsReturnedUnchanged() throws Exception {
-        try (InstanceRig world = new InstanceRig().startHealthy(); StubClient stub = world.connectStub()) {
-            assertEquals(awaitNext(world.interpreter.commands, "a link"), "CONNECT 0");
+        try (InstanceRig rig = new InstanceRig().startHealthy(); StubClient stub = rig.connectStub()) {
+            assertEquals(awaitNext(rig.interpreter.commands, "a link"), "CONNECT 0");
             assertEquals(stub.checkHealth(), 79);
             stub.sendExchange(7, "look", A, "APPLY x\r\n\0\u00ff");
-            assertEquals(awaitNext(world.interpreter.commands, "a run"),
+            assertEquals(awaitNext(rig.interpreter.commands, "a run"),
                     "APPLY " + A + " look 11\nAPPLY x\r\n\0\u00ff");
-            world.interpreter.value(A, "good", "VALUE\r\n\0\u00fe");
+            rig.interpreter.value(A, "good", "VALUE\r\n\0\u00fe");
             assertEquals(stub.read(), new StubClient.Frame(4, 7, 79, "\0VALUE\r\n\0\u00fe"));
         }
     }
 
     public void answersFollowTheOrderInWhichRunsEnd() throws Exception {
-        try (InstanceRig world = new InstanceRig().startHealthy(); StubClient stub = world.connectStub()) {
+        try (InstanceRig rig = new InstanceRig().startHealthy(); StubClient stub = rig.connectStub()) {
             stub.sendExchange(1, "note", A, "");
             stub.sendExchange(2, "look", B, "");
-            awaitNext(world.interpreter.commands, "a link");
-            awaitNext(world.interpreter.commands, "a run");
-            awaitNext(world.interpreter.commands, "another run");
-            world.interpreter.value(B, "bad", "");
-            world.interpreter.value(A, "good", "kept");
+            awaitNext(rig.interpreter.commands, "a link");
+            awaitNext(rig.interpreter.commands, "a run");
+            awaitNext(rig.interpreter.commands, "another run");
+            rig.interpreter.value(B, "bad", "");
+            rig.interpreter.value(A, "good", "kept");
             assertEquals(stub.read(), new StubClient.Frame(4, 2, 69, "\0"));
             assertEquals(stub.read(), new StubClient.Frame(4, 1, 79, "\0kept"));
         }
     }
 
     public void unhealthyAndUnreportedUntilTheInterpreterIsUp() throws Exception {
-        try (InstanceRig world = new InstanceRig()) {
-            world.interpreter.withholdsBanner = true;
-            world.start();
-            awaitNext(world.interpreter.commands, "a link");
-            try (StubClient stub = world.connectStub()) {
+        try (InstanceRig rig = new InstanceRig()) {
+            rig.interpreter.withholdsBanner = true;
+            rig.start();
+            awaitNext(rig.interpreter.commands, "a link");
+            try (StubClient stub = rig.connectStub()) {
                 assertEquals(stub.checkHealth(), 69);
-                assertTrue(world.membership.phases.isEmpty(), "reported before it can take work");
-                world.interpreter.banner(0);
-                assertEquals(awaitNext(world.membership.phases, "a report"), "UP");
+                assertTrue(rig.membership.phases.isEmpty(), "reported before it can run anything");
+                rig.interpreter.banner(0);
+                assertEquals(awaitNext(rig.membership.phases, "a report"), "UP");
                 assertEquals(stub.checkHealth(), 79);
             }
         }
     }
 
-    /** Found by fuzzing: with the interpreter up only after the notice to leave, the grace began with it. */
+    /** Found by fuzzing: with an interpreter that came up after SIGTERM, the grace ran from its banner. */
     public void drainGraceRunsFromSigtermWhenTheInterpreterComesUpLater() throws Exception {
-        try (InstanceRig world = new InstanceRig()) {
-            world.interpreter.withholdsBanner = true;
-            world.start();
-            awaitNext(world.interpreter.commands, "a link");
-            try (StubClient stub = world.connectStub()) {
-                world.terminate();
-                world.awaitLog("drain: ");
+        try (InstanceRig rig = new InstanceRig()) {
+            rig.interpreter.withholdsBanner = true;
+            rig.start();
+            awaitNext(rig.interpreter.commands, "a link");
+            try (StubClient stub = rig.connectStub()) {
+                rig.terminate();
+                rig.awaitLog("drain: ");
                 Thread.sleep(700);
-                world.interpreter.banner(0);
-                world.awaitLog("the interpreter is up");
+                rig.interpreter.banner(0);
+                rig.awaitLog("the interpreter is up");
                 stub.sendExchange(1, "look", A, "");
                 assertEquals(stub.read().code(), 66);
-                assertTrue(world.interpreter.commands.stream().noneMatch(each -> each.startsWith("APPLY")));
+                assertTrue(rig.interpreter.commands.stream().noneMatch(each -> each.startsWith("APPLY")));
             }
         }
     }
 
     public void reloadChangesServiceAddressesAndKeepsOpenExchanges() throws Exception {
-        try (InstanceRig world = new InstanceRig().startHealthy(); StubClient stub = world.connectStub()) {
-            awaitNext(world.interpreter.commands, "a link");
+        try (InstanceRig rig = new InstanceRig().startHealthy(); StubClient stub = rig.connectStub()) {
+            awaitNext(rig.interpreter.commands, "a link");
             stub.sendExchange(1, "note", A, "");
-            awaitNext(world.interpreter.commands, "a run");
+            awaitNext(rig.interpreter.commands, "a run");
             stub.sendExchange(2, "look", B, "");
-            awaitNext(world.interpreter.commands, "another run");
-            world.interpreter.value(B, "good", "early");
+            awaitNext(rig.interpreter.commands, "another run");
+            rig.interpreter.value(B, "good", "early");
             assertEquals(stub.read(), new StubClient.Frame(4, 2, 79, "\0early"));
-            world.replaceConfiguration("{ no configuration");
-            world.awaitLog("configuration not taken");
-            InstanceRig.FakeInterpreter moved = world.interpreter.moveToNewPort();
+            rig.replaceConfiguration("{ no configuration");
+            rig.awaitLog("configuration rejected");
+            InstanceRig.FakeInterpreter moved = rig.interpreter.moveToNewPort();
             InstanceRig.FakeMembership members = new InstanceRig.FakeMembership();
-            world.replaceConfiguration(moved, members);
+            rig.replaceConfiguration(moved, members);
             assertEquals(awaitNext(moved.commands, "a link to the new address"), "CONNECT 1");
             assertEquals(awaitNext(members.phases, "a report to the new address"), "UP");
             moved.value(A, "good", "late");
             assertEquals(stub.read(), new StubClient.Frame(4, 1, 79, "\0late"));
             stub.sendExchange(3, "look", "00000000000000cc", "");
             assertEquals(awaitNext(moved.commands, "a run"), "APPLY 00000000000000cc look 0\n");
-            assertTrue(world.interpreter.commands.isEmpty(), "spoken to at its old address");
-            // Health that changes later is told there too, and not a second time for a repeated notice.
+            assertTrue(rig.interpreter.commands.isEmpty(), "a command was sent to the old address");
+            // A repeated notice has no effect, and later changes of health are reported to the new address too.
             moved.write("VALUE 3 00000000000000cc good 1 0\r\n\r\nVALUE 3 00000000000000cc good 1 0\r\n\r\n");
             assertEquals(stub.read(), new StubClient.Frame(4, 3, 79, "\0"));
-            world.terminate();
+            rig.terminate();
             members.awaitPhase("OUT");
         }
     }
 
     /**
-     * Found by the fleet trial, which was started from under nohup: the runtime takes no handler for a signal that was
-     * ignored at its start, so that all instances kept to the addresses of a configuration that was over.
+     * Found by a fleet trial that was started with nohup: the runtime installs no handler for a signal that was ignored
+     * at its start, so all instances kept the addresses of an outdated configuration.
      */
     public void deployedCommandReloadsThoughItsParentIgnoresSighup() throws Exception {
         Path root = Path.of(System.getProperty("maven.multiModuleProjectDirectory", "..")).toAbsolutePath();
         String run = Files.readAllLines(root.resolve("deploy/balancer.toml")).stream()
                 .filter(line -> line.startsWith("run = ")).findFirst().orElseThrow().replaceAll("^run = \"|\"$", "");
-        try (InstanceRig world = new InstanceRig()) {
-            world.start(new ProcessBuilder("/bin/sh", "-c", "trap '' HUP TERM; exec /bin/sh -c \"$0\"", run)
+        try (InstanceRig rig = new InstanceRig()) {
+            rig.start(new ProcessBuilder("/bin/sh", "-c", "trap '' HUP TERM; exec /bin/sh -c \"$0\"", run)
                     .directory(root.toFile()));
-            assertEquals(awaitNext(world.membership.phases, "a report"), "UP");
+            assertEquals(awaitNext(rig.membership.phases, "a report"), "UP");
             InstanceRig.FakeMembership members = new InstanceRig.FakeMembership();
-            world.replaceConfiguration(world.interpreter, members);
+            rig.replaceConfiguration(rig.interpreter, members);
             assertEquals(awaitNext(members.phases, "a report to the new address"), "UP");
-            world.terminate();
+            rig.terminate();
             members.awaitPhase("OUT");
         }
     }
 
-    /** Started by a command that leaves the signal ignored, it says so: nothing else would tell. */
+    /** If the parent leaves the signal ignored, a log line is the only hint of it. */
     public void ignoredSignalIsLogged() throws Exception {
-        try (InstanceRig world = new InstanceRig()) {
-            world.start(new ProcessBuilder("/bin/sh", "-c", "trap '' HUP; exec \"$0\" \"$@\"",
+        try (InstanceRig rig = new InstanceRig()) {
+            rig.start(new ProcessBuilder("/bin/sh", "-c", "trap '' HUP; exec \"$0\" \"$@\"",
                     System.getProperty("java.home") + "/bin/java", "-cp", System.getProperty("surefire.test.class.path",
                     System.getProperty("java.class.path")), "vetchrill.Main", "serve"));
-            world.awaitLog("SIGHUP was ignored by whoever started this process");
+            rig.awaitLog("SIGHUP was ignored by the parent of this process");
         }
     }
 
-    /** Found by the fleet trial: what a new connection brought at the end of a drain was closed without an answer. */
+    /** Found by a fleet trial: a connection made at the end of a drain was closed without an answer to its request. */
     public void connectionsAreRefusedAtTheEndOfADrain() throws Exception {
-        try (InstanceRig world = new InstanceRig()) {
-            world.replacements.put("\"stop_ms\":5000", "\"stop_ms\":1500");
-            world.startHealthy();
-            world.terminate();
-            world.awaitLog("drain: ");
-            try (StubClient stub = world.connectStub()) {
+        try (InstanceRig rig = new InstanceRig()) {
+            rig.replacements.put("\"stop_ms\":5000", "\"stop_ms\":1500");
+            rig.startHealthy();
+            rig.terminate();
+            rig.awaitLog("drain: ");
+            try (StubClient stub = rig.connectStub()) {
                 stub.sendExchange(1, "look", A, "");
-                assertEquals(stub.read().code() > 0, true, "taken while connections are");
+                assertEquals(stub.read().code() > 0, true, "accepted and answered while connections are accepted");
                 assertEquals(stub.read().type(), 64);
-                assertThrows(java.net.ConnectException.class, world::connectStub);
-                assertTrue(world.isAlive());
+                assertThrows(java.net.ConnectException.class, rig::connectStub);
+                assertTrue(rig.isAlive());
             }
         }
     }
 
     public void linkWithoutAnAnswerIsRetriedSoon() throws Exception {
-        try (InstanceRig world = new InstanceRig().startHealthy();
+        try (InstanceRig rig = new InstanceRig().startHealthy();
                 java.net.ServerSocket full = new java.net.ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress());
                 java.net.Socket one = new java.net.Socket(full.getInetAddress(), full.getLocalPort());
                 java.net.Socket two = new java.net.Socket(full.getInetAddress(), full.getLocalPort())) {
-            world.replaceConfiguration(full.getLocalPort());
-            world.awaitLog("configuration read again");
+            rig.replaceConfiguration(full.getLocalPort());
+            rig.awaitLog("configuration read again");
             Thread.sleep(150);
             full.accept();
             full.accept();
@@ -175,59 +175,59 @@
     }
 
     /**
-     * Found by fuzzing: the one question that settles a new link was asked once, and nothing ran again without its
-     * answer.
+     * Found by fuzzing: the query that reconciles a new link was sent only once, and without its reply nothing ran any
+     * more.
      */
     public void reconciliationIsRetriedWhenTheInterpreterDoesNotAnswer() throws Exception {
-        try (InstanceRig world = new InstanceRig().startHealthy(); StubClient stub = world.connectStub()) {
-            awaitNext(world.interpreter.commands, "a link");
-            world.interpreter.withholdsGauges = true;
-            world.interpreter.disconnect();
-            awaitNext(world.interpreter.commands, "a link again");
+        try (InstanceRig rig = new InstanceRig().startHealthy(); StubClient stub = rig.connectStub()) {
+            awaitNext(rig.interpreter.commands, "a link");
+            rig.interpreter.withholdsGauges = true;
+            rig.interpreter.disconnect();
+            awaitNext(rig.interpreter.commands, "a reconnect");
             Thread.sleep(200);
-            world.interpreter.withholdsGauges = false;
+            rig.interpreter.withholdsGauges = false;
             stub.sendExchange(1, "look", A, "");
-            assertEquals(awaitNext(world.interpreter.commands, "a run"), "APPLY " + A + " look 0\n");
+            assertEquals(awaitNext(rig.interpreter.commands, "a run"), "APPLY " + A + " look 0\n");
         }
     }
 
-    /** Found by fuzzing: a run that a lost link had swallowed held its slot for good once its stub was gone as well. */
+    /** Found by fuzzing: a run lost with its link held its slot forever if its stub was disconnected as well. */
     public void runOfUnknownStateIsQueriedAfterItsStubWasReset() throws Exception {
-        try (InstanceRig world = new InstanceRig()
-                .startHealthy(); StubClient stub = world.connectStub(); StubClient other = world.connectStub()) {
-            awaitNext(world.interpreter.commands, "a link");
+        try (InstanceRig rig = new InstanceRig()
+                .startHealthy(); StubClient stub = rig.connectStub(); StubClient other = rig.connectStub()) {
+            awaitNext(rig.interpreter.commands, "a link");
             stub.sendExchange(1, "note", A, "");
-            awaitNext(world.interpreter.commands, "a run");
-            world.interpreter.disconnect();
-            awaitNext(world.interpreter.commands, "a link again");
+            awaitNext(rig.interpreter.commands, "a run");
+            rig.interpreter.disconnect();
+            awaitNext(rig.interpreter.commands, "a reconnect");
             other.sendExchange(1, "look", B, "");
-            assertEquals(awaitNext(world.interpreter.commands, "another run"), "APPLY " + B + " look 0\n");
+            assertEquals(awaitNext(rig.interpreter.commands, "another run"), "APPLY " + B + " look 0\n");
             stub.socket.setSoLinger(true, 0);
             stub.socket.close();
-            assertEquals(awaitNext(world.interpreter.commands, "a question"), "APPLY " + A + " note 0\n");
+            assertEquals(awaitNext(rig.interpreter.commands, "a query of the run"), "APPLY " + A + " note 0\n");
         }
     }
 
     public void unansweredHealthReportsDelayNoOtherReport() throws Exception {
-        try (InstanceRig world = new InstanceRig()) {
-            world.membership.fake.status = 0;
-            world.startHealthy();
+        try (InstanceRig rig = new InstanceRig()) {
+            rig.membership.fake.status = 0;
+            rig.startHealthy();
             Thread.sleep(100);
             long since = System.nanoTime();
-            world.terminate();
-            world.membership.awaitPhase("OUT");
-            assertTrue(System.nanoTime() - since < 1_000_000_000L, "the change waited behind a report in hand");
+            rig.terminate();
+            rig.membership.awaitPhase("OUT");
+            assertTrue(System.nanoTime() - since < 1_000_000_000L, "the change waited for the report in progress");
         }
     }
 
     public void slowSenderOrReaderDelaysNoOtherStub() throws Exception {
-        try (InstanceRig world = new InstanceRig()
-                .startHealthy(); StubClient slow = world.connectStub(); StubClient deaf = world.connectStub();
-                StubClient quick = world.connectStub()) {
-            awaitNext(world.interpreter.commands, "a link");
+        try (InstanceRig rig = new InstanceRig()
+                .startHealthy(); StubClient slow = rig.connectStub(); StubClient nonReader = rig.connectStub();
+                StubClient quick = rig.connectStub()) {
+            awaitNext(rig.interpreter.commands, "a link");
             byte[] frame = StubClient.exchange(1, "look", A, "slow");
             slow.send(Arrays.copyOf(frame, 20));
-            // Every check is answered, and none of the answers is read.
+            // All checks are answered, but no answer is read.
             byte[] checks = new byte[0];
             for (int i = 0; i < 1000; i++) {
                 byte[] check = StubClient.frame(16, i, StubClient.payload(""));
@@ -237,46 +237,46 @@
             byte[] thousand = checks;
             assertThrows(IOException.class, () -> {
                 for (int i = 0; i < 5000; i++) {
-                    deaf.send(thousand);
+                    nonReader.send(thousand);
                 }
             });
             quick.sendExchange(1, "look", B, "quick");
-            assertEquals(awaitNext(world.interpreter.commands, "the quick run"), "APPLY " + B + " look 5\nquick");
-            world.interpreter.value(B, "good", "done");
+            assertEquals(awaitNext(rig.interpreter.commands, "the quick run"), "APPLY " + B + " look 5\nquick");
+            rig.interpreter.value(B, "good", "done");
             assertEquals(quick.read().code(), 79);
             for (int i = 20; i < frame.length; i++) {
                 slow.send(new byte[] {frame[i]});
             }
-            assertEquals(awaitNext(world.interpreter.commands, "the slow run"), "APPLY " + A + " look 4\nslow");
-            assertTrue(world.isAlive());
+            assertEquals(awaitNext(rig.interpreter.commands, "the slow run"), "APPLY " + A + " look 4\nslow");
+            assertTrue(rig.isAlive());
         }
     }
 
     public void pendingExchangeOfAResetConnectionIsNotRun() throws Exception {
-        try (InstanceRig world = new InstanceRig()) {
-            world.interpreter.gauges = "1 9 0.1 1";
-            world.startHealthy();
-            try (StubClient stub = world.connectStub(); StubClient other = world.connectStub()) {
-                awaitNext(world.interpreter.commands, "a link");
+        try (InstanceRig rig = new InstanceRig()) {
+            rig.interpreter.gauges = "1 9 0.1 1";
+            rig.startHealthy();
+            try (StubClient stub = rig.connectStub(); StubClient other = rig.connectStub()) {
+                awaitNext(rig.interpreter.commands, "a link");
                 for (int i = 1; i <= 4; i++) {
                     stub.sendExchange(i, "look", "000000000000000" + i, "");
-                    awaitNext(world.interpreter.commands, "a run");
+                    awaitNext(rig.interpreter.commands, "a run");
                 }
                 other.sendExchange(1, "look", A, "");
                 assertEquals(other.checkHealth(), 79);
                 other.socket.setSoLinger(true, 0);
                 other.close();
-                world.awaitLog("reset with 1 exchanges open");
+                rig.awaitLog("reset with 1 exchanges open");
                 stub.sendExchange(5, "look", B, "");
                 assertEquals(stub.checkHealth(), 79);
-                world.interpreter.value("0000000000000001", "good", "");
-                assertEquals(awaitNext(world.interpreter.commands, "a run"), "APPLY " + B + " look 0\n");
+                rig.interpreter.value("0000000000000001", "good", "");
+                assertEquals(awaitNext(rig.interpreter.commands, "a run"), "APPLY " + B + " look 0\n");
             }
         }
     }
 
     public void malformedExchangeIsAnsweredOnItsStreamAndTheConnectionLives() throws Exception {
-        try (InstanceRig world = new InstanceRig().startHealthy(); StubClient stub = world.connectStub()) {
+        try (InstanceRig rig = new InstanceRig().startHealthy(); StubClient stub = rig.connectStub()) {
             String t0 = Long.toString(System.currentTimeMillis());
             String[] right = {"method", "look", "rid", A, "t0", t0, "peer", "4", "acct", "acme", "mem", "1", "prio",
                 "0.5"};
@@ -305,7 +305,7 @@
             List<StubClient> stubs = new ArrayList<>();
             for (int i = 0; i < payloads.size(); i++) {
                 if (i % 6 == 0) {
-                    stubs.add(world.connectStub());
+                    stubs.add(rig.connectStub());
                 }
                 StubClient wrong = stubs.get(i / 6);
                 wrong.send(StubClient.frame(2, i + 1, payloads.get(i)));
@@ -313,28 +313,28 @@
             }
             assertEquals(stubs.get(0).checkHealth(), 79);
             stub.sendExchange(50, "look", A, "");
-            awaitNext(world.interpreter.commands, "a link");
-            assertEquals(awaitNext(world.interpreter.commands, "a run"), "APPLY " + A + " look 0\n");
+            awaitNext(rig.interpreter.commands, "a link");
+            assertEquals(awaitNext(rig.interpreter.commands, "a run"), "APPLY " + A + " look 0\n");
             stub.sendExchange(50, "look", B, "");
-            assertEquals(stub.read(), new StubClient.Frame(4, 0, 69, "\0"), "a stream that is open");
+            assertEquals(stub.read(), new StubClient.Frame(4, 0, 69, "\0"), "a stream id in use");
             stub.sendExchange(51, "look", A, "");
-            assertEquals(stub.read(), new StubClient.Frame(4, 51, 69, "\0"), "an rid that is open");
+            assertEquals(stub.read(), new StubClient.Frame(4, 51, 69, "\0"), "a rid in use");
         }
     }
 
     public void stubThatSendsOnlyMalformedFramesIsClosedOnceItsExchangesAreAnswered() throws Exception {
-        try (InstanceRig world = new InstanceRig()
-                .startHealthy(); StubClient stub = world.connectStub(); StubClient other = world.connectStub()) {
-            awaitNext(world.interpreter.commands, "a link");
+        try (InstanceRig rig = new InstanceRig()
+                .startHealthy(); StubClient stub = rig.connectStub(); StubClient other = rig.connectStub()) {
+            awaitNext(rig.interpreter.commands, "a link");
             stub.sendExchange(1, "look", A, "");
-            awaitNext(world.interpreter.commands, "a run");
+            awaitNext(rig.interpreter.commands, "a run");
             for (int i = 2; i < 40; i++) {
                 stub.sendExchange(i, "dance", B, "");
             }
             for (int i = 2; i < 10; i++) {
                 assertEquals(stub.read(), new StubClient.Frame(4, i, 69, "\0"));
             }
-            world.interpreter.value(A, "good", "");
+            rig.interpreter.value(A, "good", "");
             assertEquals(stub.read(), new StubClient.Frame(4, 1, 79, "\0"));
             assertNull(stub.read());
             assertEquals(other.checkHealth(), 79);
@@ -342,16 +342,16 @@
     }
 
     public void brokenFramingEndsTheConnectionOnceItsExchangesAreAnswered() throws Exception {
-        try (InstanceRig world = new InstanceRig().startHealthy(); StubClient other = world.connectStub()) {
-            awaitNext(world.interpreter.commands, "a link");
+        try (InstanceRig rig = new InstanceRig().startHealthy(); StubClient other = rig.connectStub()) {
+            awaitNext(rig.interpreter.commands, "a link");
             for (byte[] rubbish : List.of(new byte[] {0, 0, 0, 4, 2, 0, 0, 0, 9}, "GET / HTTP/1.1\r\n\r\n".getBytes(),
                     StubClient.frame(3, 1, new byte[0]))) {
-                try (StubClient stub = world.connectStub()) {
+                try (StubClient stub = rig.connectStub()) {
                     stub.sendExchange(1, "look", A, "");
-                    awaitNext(world.interpreter.commands, "a run");
+                    awaitNext(rig.interpreter.commands, "a run");
                     stub.send(rubbish);
                     assertEquals(stub.read(), new StubClient.Frame(4, 0, 69, "\0"));
-                    world.interpreter.value(A, "good", "");
+                    rig.interpreter.value(A, "good", "");
                     assertEquals(stub.read(), new StubClient.Frame(4, 1, 79, "\0"));
                     assertNull(stub.read());
                 }
@@ -361,23 +361,23 @@
     }
 
     public void afterALinkFailureNoMutatingRunStartsTwiceAndNoneIsLost() throws Exception {
-        InstanceRig patient = new InstanceRig();
-        patient.replacements.put("\"deadlineMs\":30000", "\"deadlineMs\":5000");
-        try (InstanceRig world = patient.startHealthy(); StubClient stub = world.connectStub()) {
-            awaitNext(world.interpreter.commands, "a link");
+        InstanceRig patientRig = new InstanceRig();
+        patientRig.replacements.put("\"deadlineMs\":30000", "\"deadlineMs\":5000");
+        try (InstanceRig rig = patientRig.startHealthy(); StubClient stub = rig.connectStub()) {
+            awaitNext(rig.interpreter.commands, "a link");
             stub.sendExchange(1, "look", A, "");
             stub.sendExchange(2, "note", B, "");
             stub.sendExchange(3, "look", "00000000000000cc", "");
             for (int i = 0; i < 3; i++) {
-                awaitNext(world.interpreter.commands, "a run");
+                awaitNext(rig.interpreter.commands, "a run");
             }
-            world.interpreter.value("00000000000000cc", "good", "first");
+            rig.interpreter.value("00000000000000cc", "good", "first");
             assertEquals(stub.read().stream(), 3);
-            world.interpreter.disconnect();
-            world.interpreter.value("00000000000000dd", "good", "of no exchange");
-            assertEquals(awaitNext(world.interpreter.commands, "a link"), "CONNECT 1");
-            assertEquals(awaitNext(world.interpreter.commands, "a run"), "APPLY " + A + " look 0\n");
-            // The mutating one may have begun: it gets its error in time, and only then is it asked after.
+            rig.interpreter.disconnect();
+            rig.interpreter.value("00000000000000dd", "good", "of no exchange");
+            assertEquals(awaitNext(rig.interpreter.commands, "a link"), "CONNECT 1");
+            assertEquals(awaitNext(rig.interpreter.commands, "a run"), "APPLY " + A + " look 0\n");
+            // The mutating run may have started: it gets its error in time, and only then its state is queried.
             List<Integer> failed = new ArrayList<>();
             for (int i = 0; i < 2; i++) {
                 StubClient.Frame frame = stub.read();
@@ -385,31 +385,31 @@
                 failed.add(frame.stream());
             }
             assertTrue(failed.containsAll(List.of(1, 2)), failed.toString());
-            assertTrue(world.interpreter.commands.isEmpty(), "asked for again before it was answered");
-            assertEquals(awaitNext(world.interpreter.commands, "word of the run"), "APPLY " + B + " note 0\n");
-            world.interpreter.value(B, "gone", "");
+            assertTrue(rig.interpreter.commands.isEmpty(), "the run was requested again before its answer");
+            assertEquals(awaitNext(rig.interpreter.commands, "a query of the run"), "APPLY " + B + " note 0\n");
+            rig.interpreter.value(B, "gone", "");
             stub.sendExchange(4, "note", "00000000000000ee", "");
-            assertEquals(awaitNext(world.interpreter.commands, "a run"), "APPLY 00000000000000ee note 0\n");
+            assertEquals(awaitNext(rig.interpreter.commands, "a run"), "APPLY 00000000000000ee note 0\n");
         }
     }
 
     public void resultReportedWhileTheLinkWasDownIsRelayedAfterReconnect() throws Exception {
-        try (InstanceRig world = new InstanceRig().startHealthy(); StubClient stub = world.connectStub()) {
-            awaitNext(world.interpreter.commands, "a link");
+        try (InstanceRig rig = new InstanceRig().startHealthy(); StubClient stub = rig.connectStub()) {
+            awaitNext(rig.interpreter.commands, "a link");
             stub.sendExchange(1, "note", A, "");
-            awaitNext(world.interpreter.commands, "a run");
-            world.interpreter.disconnect();
-            world.interpreter.value(A, "good", "late");
+            awaitNext(rig.interpreter.commands, "a run");
+            rig.interpreter.disconnect();
+            rig.interpreter.value(A, "good", "late");
             assertEquals(stub.read(), new StubClient.Frame(4, 1, 79, "\0late"));
         }
     }
 
     public void deadlinesAreMetWhileTheInterpreterIsSilent() throws Exception {
-        try (InstanceRig world = new InstanceRig()) {
-            world.replacements.put("\"deadlineMs\":30000", "\"deadlineMs\":2000");
-            world.startHealthy();
-            try (StubClient stub = world.connectStub()) {
-                world.interpreter.withholdsGauges = true;
+        try (InstanceRig rig = new InstanceRig()) {
+            rig.replacements.put("\"deadlineMs\":30000", "\"deadlineMs\":2000");
+            rig.startHealthy();
+            try (StubClient stub = rig.connectStub()) {
+                rig.interpreter.withholdsGauges = true;
                 stub.sendExchange(1, "note", A, "");
                 assertEquals(stub.read(), new StubClient.Frame(4, 1, 69, "\0"));
             }
@@ -417,126 +417,127 @@
     }
 
     public void idleConnectionIsDrainedButOneForHealthChecksIsNot() throws Exception {
-        try (InstanceRig world = new InstanceRig()
-                .startHealthy(); StubClient stub = world.connectStub(); StubClient checks = world.connectStub()) {
-            awaitNext(world.interpreter.commands, "a link");
+        try (InstanceRig rig = new InstanceRig()
+                .startHealthy(); StubClient stub = rig.connectStub(); StubClient checks = rig.connectStub()) {
+            awaitNext(rig.interpreter.commands, "a link");
             assertEquals(checks.checkHealth(), 79);
             stub.sendExchange(1, "look", A, "");
-            awaitNext(world.interpreter.commands, "a run");
-            world.interpreter.gauges = "0.95 1 0.1 1";
-            world.interpreter.value(A, "good", "");
+            awaitNext(rig.interpreter.commands, "a run");
+            rig.interpreter.gauges = "0.95 1 0.1 1";
+            rig.interpreter.value(A, "good", "");
             assertEquals(stub.read().code(), 79);
             assertEquals(stub.read(), new StubClient.Frame(64, 0, 0, ""));
-            // What crosses the word on its way is answered as any other.
+            // A request that crosses the message is answered like any other.
             stub.sendExchange(2, "look", B, "");
-            awaitNext(world.interpreter.commands, "a run");
-            world.interpreter.value(B, "good", "");
+            awaitNext(rig.interpreter.commands, "a run");
+            rig.interpreter.value(B, "good", "");
             assertEquals(stub.read(), new StubClient.Frame(4, 2, 79, "\0"));
             assertEquals(checks.checkHealth(), 79);
         }
     }
 
     public void drainAnswersAllDeniesArrivalsPastTheGraceAndExitsWithZero() throws Exception {
-        try (InstanceRig world = new InstanceRig().startHealthy(); StubClient stub = world.connectStub()) {
-            awaitNext(world.interpreter.commands, "a link");
+        try (InstanceRig rig = new InstanceRig().startHealthy(); StubClient stub = rig.connectStub()) {
+            awaitNext(rig.interpreter.commands, "a link");
             stub.sendExchange(1, "look", A, "");
-            awaitNext(world.interpreter.commands, "a run");
+            awaitNext(rig.interpreter.commands, "a run");
             stub.sendExchange(2, "note", B, "");
-            awaitNext(world.interpreter.commands, "a run");
-            world.terminate();
-            world.awaitLog("drain: 2 exchanges open");
-            world.terminate();
-            world.membership.awaitPhase("OUT");
+            awaitNext(rig.interpreter.commands, "a run");
+            rig.terminate();
+            rig.awaitLog("drain: 2 exchanges open");
+            rig.terminate();
+            rig.membership.awaitPhase("OUT");
             assertEquals(stub.checkHealth(), 69);
-            world.interpreter.value(A, "good", "");
+            rig.interpreter.value(A, "good", "");
             assertEquals(stub.read().code(), 79);
             Thread.sleep(800);
             stub.sendExchange(3, "look", "00000000000000cc", "");
             assertEquals(stub.read().code(), 66, "arrived past the grace");
-            assertEquals(stub.read(), new StubClient.Frame(64, 0, 0, ""), "nothing new on this connection");
+            assertEquals(stub.read(), new StubClient.Frame(64, 0, 0, ""), "no new exchange on this connection");
             assertEquals(stub.read(), new StubClient.Frame(4, 2, 69, "\0"), "the run that never ended");
             assertNull(stub.read());
-            assertEquals(world.awaitExit(), 0);
-            assertTrue(world.logText().contains("drained"), world.logText());
+            assertEquals(rig.awaitExit(), 0);
+            assertTrue(rig.logText().contains("drained"), rig.logText());
         }
     }
 
     public void failingMembershipServiceIsLoggedOnce() throws Exception {
-        try (InstanceRig world = new InstanceRig()) {
-            world.membership.fake.status = 503;
-            world.startHealthy();
-            try (StubClient stub = world.connectStub()) {
+        try (InstanceRig rig = new InstanceRig()) {
+            rig.membership.fake.status = 503;
+            rig.startHealthy();
+            try (StubClient stub = rig.connectStub()) {
                 assertEquals(stub.checkHealth(), 79);
                 for (int i = 0; i < 3; i++) {
-                    awaitNext(world.membership.phases, "a report");
+                    awaitNext(rig.membership.phases, "a report");
                 }
-                world.membership.fake.status = 204;
-                world.awaitLog("succeed again");
-                assertEquals(world.logText().split("answered 503").length, 2, "told once for each row of failures");
+                rig.membership.fake.status = 204;
+                rig.awaitLog("succeed again");
+                assertEquals(rig.logText().split("answered 503").length, 2, "logged once for a series of failures");
             }
         }
     }
 
     public void openExchangesAreBoundedPerConnectionAndInTotal() throws Exception {
-        try (InstanceRig world = new InstanceRig()) {
-            world.replacements.put("\"memory_mb\":192", "\"memory_mb\":1");
-            world.replacements.put("\"cores\":4", "\"cores\":64");
-            world.startHealthy();
-            awaitNext(world.interpreter.commands, "a link");
+        try (InstanceRig rig = new InstanceRig()) {
+            rig.replacements.put("\"memory_mb\":192", "\"memory_mb\":1");
+            rig.replacements.put("\"cores\":4", "\"cores\":64");
+            rig.startHealthy();
+            awaitNext(rig.interpreter.commands, "a link");
             String body = "x".repeat(2048);
-            List<StubClient> stubs = List.of(world.connectStub(), world.connectStub(), world.connectStub());
+            List<StubClient> stubs = List.of(rig.connectStub(), rig.connectStub(), rig.connectStub());
             for (int i = 0; i < 64; i++) {
                 stubs.get(i / 32).sendExchange(i + 1, "note", String.format("%016x", i), body);
-                awaitNext(world.interpreter.commands, "run " + i);
+                awaitNext(rig.interpreter.commands, "run " + i);
             }
             stubs.get(0).sendExchange(99, "note", A, "");
             assertEquals(stubs.get(0).read(), new StubClient.Frame(4, 99, 66, "\0"), "the 33rd on one connection");
             stubs.get(2).sendExchange(1, "note", A, body);
-            assertEquals(stubs.get(2).read(), new StubClient.Frame(4, 1, 66, "\0"), "an eighth of the memory is kept");
-            world.interpreter.value("0000000000000001", "good", "");
+            assertEquals(stubs.get(2).read(), new StubClient.Frame(4, 1, 66, "\0"),
+                    "bodies take at most an eighth of the memory");
+            rig.interpreter.value("0000000000000001", "good", "");
             assertEquals(stubs.get(0).read().code(), 79);
             stubs.get(2).sendExchange(2, "note", A, body);
-            awaitNext(world.interpreter.commands, "a run in the place of the one that ended");
+            awaitNext(rig.interpreter.commands, "a run after one has ended");
         }
     }
 
     public void longestIdleConnectionIsEvictedWhenTheTableIsFull() throws Exception {
-        try (InstanceRig world = new InstanceRig().startHealthy(); StubClient busy = world.connectStub()) {
-            awaitNext(world.interpreter.commands, "a link");
+        try (InstanceRig rig = new InstanceRig().startHealthy(); StubClient busy = rig.connectStub()) {
+            awaitNext(rig.interpreter.commands, "a link");
             busy.sendExchange(1, "look", A, "");
-            awaitNext(world.interpreter.commands, "a run");
+            awaitNext(rig.interpreter.commands, "a run");
             List<StubClient> many = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
-                many.add(world.connectStub());
+                many.add(rig.connectStub());
                 assertEquals(many.get(i).checkHealth(), 79, "connection " + i);
             }
-            assertEquals(many.get(0).read(), new StubClient.Frame(64, 0, 0, ""), "the longest idle, told first");
-            assertNull(many.get(0).read(), "and closed, though it does not follow");
+            assertEquals(many.get(0).read(), new StubClient.Frame(64, 0, 0, ""), "the longest idle, asked to close");
+            assertNull(many.get(0).read(), "and is closed, though it does not comply");
             assertEquals(many.get(55).checkHealth(), 79);
-            world.interpreter.value(A, "good", "");
+            rig.interpreter.value(A, "good", "");
             assertEquals(busy.read().code(), 79);
         }
     }
 
     public void idleAndSilentConnectionsAreClosed() throws Exception {
-        try (InstanceRig world = new InstanceRig()) {
-            world.replacements.put("\"idleMs\":15000", "\"idleMs\":1500");
-            world.startHealthy();
-            try (StubClient held = world.connectStub(); StubClient mute = world.connectStub();
-                    StubClient half = world.connectStub();
-                    StubClient busy = world.connectStub()) {
-                awaitNext(world.interpreter.commands, "a link");
+        try (InstanceRig rig = new InstanceRig()) {
+            rig.replacements.put("\"idleMs\":15000", "\"idleMs\":1500");
+            rig.startHealthy();
+            try (StubClient unused = rig.connectStub(); StubClient silent = rig.connectStub();
+                    StubClient half = rig.connectStub();
+                    StubClient busy = rig.connectStub()) {
+                awaitNext(rig.interpreter.commands, "a link");
                 half.send(Arrays.copyOf(StubClient.exchange(1, "look", B, ""), 30));
                 busy.sendExchange(1, "look", A, "");
-                awaitNext(world.interpreter.commands, "a run");
-                held.checkHealth();
+                awaitNext(rig.interpreter.commands, "a run");
+                unused.checkHealth();
                 long since = System.nanoTime();
-                assertNull(mute.read());
+                assertNull(silent.read());
                 assertNull(half.read());
-                assertTrue(System.nanoTime() - since < 2_900_000_000L, "owed within three seconds");
-                assertEquals(held.read(), new StubClient.Frame(64, 0, 0, ""), "told first");
-                assertNull(held.read());
-                world.interpreter.value(A, "good", "");
+                assertTrue(System.nanoTime() - since < 2_900_000_000L, "must be closed within three seconds");
+                assertEquals(unused.read(), new StubClient.Frame(64, 0, 0, ""), "asked to close first");
+                assertNull(unused.read());
+                rig.interpreter.value(A, "good", "");
                 assertEquals(busy.read().code(), 79, "open for longer than any idle time");
             }
         }
@@ -549,17 +550,17 @@
             {"\"vm\":\"127.0.0.1:", "\"vm\":\"nowhere:", "vm"},
             {"\"seed\":\"", "\"seed\":\"x", "seed"},
             {"\"listFollows\":true", "\"callsByClass\":[true]", "look makes calls"},
-            {"\"listFollows\":true", "\"preemption\":\"drop\"", "stopped"},
-            {"\"listFollows\":true", "\"say\":\"tokens\"", "free value"},
+            {"\"listFollows\":true", "\"preemption\":\"drop\"", "preemption is on"},
+            {"\"listFollows\":true", "\"say\":\"tokens\"", "load hints are on"},
             {"\"settings\":{", "\"settings\":{{", "GW_CONFIG"},
         };
         for (String[] wrong : wrongs) {
-            try (InstanceRig world = new InstanceRig()) {
-                world.replacements.put(wrong[0], wrong[1]);
-                assertEquals(world.start().awaitExit(), 2, wrong[2]);
-                world.awaitLog("vetchrill: ");
-                assertTrue(world.logText().contains(wrong[2]), world.logText());
-                assertFalse(world.logText().contains("\n"), world.logText());
+            try (InstanceRig rig = new InstanceRig()) {
+                rig.replacements.put(wrong[0], wrong[1]);
+                assertEquals(rig.start().awaitExit(), 2, wrong[2]);
+                rig.awaitLog("vetchrill: ");
+                assertTrue(rig.logText().contains(wrong[2]), rig.logText());
+                assertFalse(rig.logText().contains("\n"), rig.logText());
             }
         }
     }
--- a/lab/src/test/java/vetchrill/routing/HealthReporterTest.java
+++ b/lab/src/test/java/vetchrill/routing/HealthReporterTest.java
@@ -32,7 +32,7 @@
 
             @Override
             public void moveTo(InetSocketAddress to) {
-                // The same hears of it.
+                // All addresses lead to this sink.
             }
         }, limits);
         report.start();
@@ -43,7 +43,7 @@
         return reports.poll(span / 10, TimeUnit.MILLISECONDS);
     }
 
-    /** Once its address is free another process may have it, and its name: its UP must not be overruled by this one. */
+    /** Once the address is free another process may take it and the name; its UP must not be overruled by this one. */
     public void noReportFollowsTheAcceptedFinalReport() throws Exception {
         HealthReporter reporter = startReporter();
         reporter.onHealthDecision(true);
@@ -52,12 +52,12 @@
         reporter.onHealthDecision(false);
         reporter.stopAfterFinalReport();
         for (int i = 0; i < 3; i++) {
-            assertEquals(awaitNext(reports, "a report"), Boolean.FALSE, "twice without an answer, then taken");
+            assertEquals(awaitNext(reports, "a report"), Boolean.FALSE, "twice without a response, then accepted");
         }
         assertNull(nextReport(2 * limits.reportIntervalTenthsMs));
     }
 
-    /** One that had no answer may arrive after the one that had one. */
+    /** A report without a response may still arrive after the next one. */
     public void reportAfterAFailedReportIsRepeatedSoon() throws Exception {
         failuresLeft = 1;
         HealthReporter reporter = startReporter();
