--- a/instance/src/main/java/vetchrill/control/OverloadController.java
+++ b/instance/src/main/java/vetchrill/control/OverloadController.java
@@ -79,8 +79,9 @@
     /** The run time assumed before any is measured is the SLO time divided by this. */
     private static final double ASSUMED_RUN_SLO_DIVISOR = 6.0;
 
+    /** Unhealthy periods are limited and spaced apart, so that a fleet does not become unhealthy as a whole. */
     private static final long MAX_UNHEALTHY_TENTHS_MS = 50_000;
-    /** Shortest time between two unhealthy periods, so that a fleet does not become unhealthy as a whole. */
+    /** Shortest time between two unhealthy periods. */
     private static final long MIN_HEALTHY_TENTHS_MS = 12_500;
     /** Arrivals above this multiple of this instance's part of all allowances: the other instances are full as well. */
     private static final double HIGH_ARRIVALS_RATIO = 1.3;
--- a/instance/src/main/java/vetchrill/wire/LineParser.java
+++ b/instance/src/main/java/vetchrill/wire/LineParser.java
@@ -163,7 +163,7 @@
         return number(valueStart, valueEnd);
     }
 
-    /** Parses a list separated by commas into {@code into}, as far as that has room; returns the length. */
+    /** Parses a list separated by commas into {@code into}, as far as that has room; returns the count. */
     int numberList(double[] into) {
         int count = 0;
         int from = valueStart;
