--- a/peers/src/main/java/vetchrill/peers/InstanceStore.java
+++ b/peers/src/main/java/vetchrill/peers/InstanceStore.java
@@ -1,7 +1,6 @@
 package vetchrill.peers;
 
 import com.fasterxml.jackson.annotation.JsonProperty;
-
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
 import java.io.IOException;
@@ -16,31 +15,32 @@
 import vetchrill.versions.VersionMessage;
 import vetchrill.versions.Version;
 
-/** What one instance must not forget, as facts of its store: its memory, the content that it decides by, and more. */
+/** The durable state of one instance, and the content of its active version, as entries of its {@link DurableStore}. */
 public final class InstanceStore {
     private static final System.Logger LOG = System.getLogger("vetchrill.store");
     private static final ObjectMapper CBOR = new ObjectMapper(new CBORFactory());
     private static final String STATE_KEY = "memory";
     private static final String CONTENT_KEY = "content";
-    /** Wishes that may wait for the disk; past them what would be begun is denied. */
+    /** Commits that may be queued for the disk; past them a commit fails at once. */
     private static final int MAX_PENDING_REQUESTS = 8_192;
 
-    /** A memory without its content, which is written when it changes only. */
+    /** The state as it is written, without the content, which is an entry of its own and written only if changed. */
     private record StateRecord(String name, @JsonProperty("count") long revision,
             @JsonProperty("life") long incarnation, @JsonProperty("able") boolean intact,
             @JsonProperty("floor") long minVersion, @JsonProperty("keepers") List<VersionMessage.VoterPromise> promises,
             @JsonProperty("taken") Version activeVersion, List<VersionMessage.KnownVersion> versions,
-                    @JsonProperty("seen") List<VersionMessage.PersistedRevision> peerRevisions) {
+            @JsonProperty("seen") List<VersionMessage.PersistedRevision> peerRevisions) {
     }
 
     public final StoreWriter writer;
     public final DurableStore.RecoveryOutcome recoveryOutcome;
-    /** What is wrong with the disk; empty where nothing is. */
+    /** Describes the worst problem that recovery found; empty for none. */
     public final String problem;
     private final DurableState recoveredState;
+    /** The content that is on the disk; null where that is not known. */
     private byte[] durableContent;
 
-    /** Reads what is there. Throws IOException where the disk can't be read at all. */
+    /** Recovers the store. Throws IOException if the disk can't be read. {@code capacityBytes} limits all its files. */
     public InstanceStore(Disk disk, String name, long capacityBytes) throws IOException {
         DurableStore store = new DurableStore(disk, name, capacityBytes);
         recoveryOutcome = store.outcome();
@@ -49,19 +49,18 @@
         writer = new StoreWriter(store, MAX_PENDING_REQUESTS);
         if (!problem.isEmpty()) {
             LOG.log(recoveryOutcome == DurableStore.RecoveryOutcome.TORN ? System.Logger.Level.INFO
-                    : System.Logger.Level.ERROR,
-                    "the store is {0}: {1}", recoveryOutcome, problem);
+                    : System.Logger.Level.ERROR, "the recovered store is {0}: {1}", recoveryOutcome, problem);
         }
     }
 
-    /** As it was found at the start; null where there is none of use. */
+    /** The state at the start; null if there is none or it can't be used. */
     public DurableState recoveredState() {
         return recoveredState;
     }
 
-    /** The memory in a store that was found so; null for none. */
-    public static DurableState recoveredState(String name, DurableStore.RecoveryOutcome outcome, NavigableMap<String,
-            byte[]> entries) {
+    /** The state in the entries of a store that was recovered with that outcome; null if none can be used. */
+    public static DurableState recoveredState(String name, DurableStore.RecoveryOutcome outcome,
+            NavigableMap<String, byte[]> entries) {
         byte[] bytes = entries.get(STATE_KEY);
         if (bytes == null) {
             return null;
@@ -69,27 +68,26 @@
         try {
             StateRecord stored = CBOR.readValue(bytes, StateRecord.class);
             if (!stored.name.equals(name)) {
-                throw new IOException("it is the memory of " + stored.name);
+                throw new IOException("it belongs to instance " + stored.name);
             }
-            // Of a damaged store it is of some earlier time: nothing of it is a promise.
+            // A damaged store may hold an earlier state, so its promises can't be relied on.
             boolean intact = stored.intact && outcome != DurableStore.RecoveryOutcome.DAMAGED;
             return new DurableState(stored.name, stored.revision, stored.incarnation, intact, stored.minVersion,
-                    stored.promises, stored.activeVersion,
-                    stored.activeVersion == null ? null : entries.get(CONTENT_KEY), stored.versions,
-                    stored.peerRevisions);
+                    stored.promises, stored.activeVersion, stored.activeVersion == null ? null
+                    : entries.get(CONTENT_KEY), stored.versions, stored.peerRevisions);
         } catch (IOException | IllegalArgumentException e) {
-            LOG.log(System.Logger.Level.ERROR, "the memory in the store is of no use: {0}",
+            LOG.log(System.Logger.Level.ERROR, "the state in the store can''t be used: {0}",
                     String.valueOf(e.getMessage()).split("\n")[0]);
             return null;
         }
     }
 
-    /** {@code done} is told on the store's thread. One at a time. */
+    /** Writes a state; the callback is notified on the writer's thread. To be called for one state at a time. */
     public void persist(DurableState state, StoreWriter.CommitCallback callback) {
         List<Change> changes = changesFor(state, durableContent);
         byte[] content = state.activeContent();
         boolean queued = writer.submit(changes, true, durable -> {
-            // A content that did not come to the disk has to be written with the next one.
+            // After a failure the content is written again with the next state.
             durableContent = durable ? content : null;
             callback.completed(durable);
         });
@@ -98,7 +96,7 @@
         }
     }
 
-    /** What has to be written for that memory, where that content is there already; null for none. */
+    /** The changes that write a state where {@code durableContent} is on the disk already; null for none. */
     public static List<Change> changesFor(DurableState state, byte[] durableContent) {
         List<Change> changes = new ArrayList<>();
         try {
--- a/peers/src/main/java/vetchrill/peers/PeerClient.java
+++ b/peers/src/main/java/vetchrill/peers/PeerClient.java
@@ -6,20 +6,23 @@
 import java.net.Socket;
 import vetchrill.members.MembershipMessage;
 
-/** Asks one instance what it holds, from outside of the fleet. */
+/** Queries one instance, or sends it an order, from a tool that is not part of the fleet. */
 public final class PeerClient {
     private static final int TIMEOUT_MS = 3_000;
 
     private PeerClient() {
     }
 
-    /** A word with all of it, whose number is how far the instance distrusts itself. */
+    /**
+     * Returns a message with the state of all members as this instance knows them, whose sequence number is its local
+     * health score.
+     */
     public static MembershipMessage queryMembership(InetSocketAddress address) throws IOException {
         byte[] payload = exchange(address, PeerProtocol.STATUS_REQUEST, new byte[0]);
         return MembershipMessageCodec.decode(payload, 0, payload.length);
     }
 
-    /** An order in JSON, and its answer. */
+    /** Sends an order in JSON and returns the reply, in JSON too; see {@link VersionService}. */
     public static byte[] sendOrder(InetSocketAddress address, byte[] order) throws IOException {
         return exchange(address, PeerProtocol.ORDER, order);
     }
@@ -31,11 +34,11 @@
             socket.getOutputStream().write(PeerProtocol.encodeFrame(type, payload));
             DataInputStream in = new DataInputStream(socket.getInputStream());
             int length = in.readInt();
-            if (length < 5 || length > MembershipMessageCodec.MAX_MESSAGE_BYTES) {
-                throw new IOException(address + " answers what is no word");
+            if (length < PeerProtocol.MIN_LENGTH_BYTES || length > MembershipMessageCodec.MAX_MESSAGE_BYTES) {
+                throw new IOException(address + " sent an invalid reply");
             }
-            in.readNBytes(5);
-            return in.readNBytes(length - 5);
+            in.readNBytes(PeerProtocol.MIN_LENGTH_BYTES);
+            return in.readNBytes(length - PeerProtocol.MIN_LENGTH_BYTES);
         }
     }
 }
--- a/peers/src/main/java/vetchrill/peers/PeerProtocol.java
+++ b/peers/src/main/java/vetchrill/peers/PeerProtocol.java
@@ -4,20 +4,27 @@
 import vetchrill.members.MembershipMessage;
 import vetchrill.transport.Connection;
 
-/** The frames of the stubs' protocol, with types of their own, as instances speak them among each other. */
+/**
+ * The protocol between instances: frames like those of the client stubs' protocol, with types of their own. A frame is
+ * its length (4 bytes, which are not included in it), its type (1 byte), 4 unused bytes and the payload.
+ */
 final class PeerProtocol implements Connection.InputHandler {
-    /** A word, as {@link MembershipMessageCodec} writes it. */
+    /** A message of {@link MembershipMessageCodec}. */
     static final int MEMBERSHIP_MESSAGE = 128;
-    /** From a tool: what do you hold? Answered by a WORD with all of it. */
+    /** From a tool: a query of the membership, answered by a MEMBERSHIP_MESSAGE with the state of all members. */
     static final int STATUS_REQUEST = 129;
-    /** What instances say of versions, as {@link VersionMessageCodec} writes it. */
+    /** A message of {@link VersionMessageCodec}. */
     static final int VERSION_MESSAGE = 130;
-    /** From a tool: an order in JSON, answered by ORDERED. */
+    /** From a tool: an order in JSON, answered by an ORDER_REPLY. */
     static final int ORDER = 131;
     static final int ORDER_REPLY = 132;
+    private static final int LENGTH_FIELD_BYTES = 4;
     private static final int HEADER_BYTES = 9;
+    /** The header without the length field, which is the smallest valid length. */
+    static final int MIN_LENGTH_BYTES = HEADER_BYTES - LENGTH_FIELD_BYTES;
     private static final System.Logger LOG = System.getLogger("vetchrill.peers");
 
+    /** Receives the frames of a connection, on the thread that reads it. An IOException closes the connection. */
     interface Handler {
         void membershipMessage(MembershipMessage message);
 
@@ -38,11 +45,11 @@
 
     static byte[] encodeFrame(int type, byte[] payload) {
         byte[] frame = new byte[HEADER_BYTES + payload.length];
-        int length = frame.length - 4;
-        for (int i = 0; i < 4; i++) {
+        int length = frame.length - LENGTH_FIELD_BYTES;
+        for (int i = 0; i < LENGTH_FIELD_BYTES; i++) {
             frame[i] = (byte) (length >> 24 - 8 * i);
         }
-        frame[4] = (byte) type;
+        frame[LENGTH_FIELD_BYTES] = (byte) type;
         System.arraycopy(payload, 0, frame, HEADER_BYTES, payload.length);
         return frame;
     }
@@ -54,33 +61,35 @@
         }
         int length = (buf[from] & 0xff) << 24 | (buf[from + 1] & 0xff) << 16 | (buf[from + 2] & 0xff) << 8
                 | buf[from + 3] & 0xff;
-        if (length < HEADER_BYTES - 4 || length > MembershipMessageCodec.MAX_MESSAGE_BYTES) {
-            LOG.log(System.Logger.Level.WARNING, "a peer sends a frame of length {0}: closed", length);
+        if (length < MIN_LENGTH_BYTES || length > MembershipMessageCodec.MAX_MESSAGE_BYTES) {
+            LOG.log(System.Logger.Level.WARNING, "closing a peer connection: invalid frame length {0}", length);
             return -1;
         }
-        if (to - from < 4 + length) {
+        if (to - from < LENGTH_FIELD_BYTES + length) {
             return 0;
         }
-        int type = buf[from + 4] & 0xff;
+        int type = buf[from + LENGTH_FIELD_BYTES] & 0xff;
         try {
             if (type == MEMBERSHIP_MESSAGE) {
                 handler.membershipMessage(MembershipMessageCodec.decode(buf, from + HEADER_BYTES,
-                        length + 4 - HEADER_BYTES));
+                        length + LENGTH_FIELD_BYTES - HEADER_BYTES));
             } else if (type == STATUS_REQUEST) {
                 handler.statusRequest();
             } else if (type == VERSION_MESSAGE) {
-                handler.versionMessage(VersionMessageCodec.decode(buf, from + HEADER_BYTES, length + 4 - HEADER_BYTES));
+                handler.versionMessage(VersionMessageCodec.decode(buf, from + HEADER_BYTES,
+                        length + LENGTH_FIELD_BYTES - HEADER_BYTES));
             } else if (type == ORDER) {
-                handler.order(java.util.Arrays.copyOfRange(buf, from + HEADER_BYTES, from + 4 + length));
+                handler.order(java.util.Arrays.copyOfRange(buf, from + HEADER_BYTES,
+                        from + LENGTH_FIELD_BYTES + length));
             } else {
-                throw new IOException("a frame of type " + type);
+                throw new IOException("unknown frame type " + type);
             }
         } catch (IOException e) {
-            LOG.log(System.Logger.Level.WARNING, "a peer sends what is no word: {0}",
+            LOG.log(System.Logger.Level.WARNING, "closing a peer connection: invalid message: {0}",
                     String.valueOf(e.getMessage()).split("\n")[0]);
             return -1;
         }
-        return 4 + length;
+        return LENGTH_FIELD_BYTES + length;
     }
 
     @Override
--- a/peers/src/main/java/vetchrill/peers/PeerService.java
+++ b/peers/src/main/java/vetchrill/peers/PeerService.java
@@ -28,13 +28,15 @@
 import vetchrill.transport.Resources;
 
 /**
- * Owns {@link SwimMembership} in a process: one thread, which takes what comes from one queue and never waits for a
- * peer.
- * Words go out on a connection that is opened when the first is due; what waits for one that is not there is bounded
- * and dropped, as a word that is late is worth no more than one that is lost.
+ * Runs the {@link SwimMembership} of a process, and its {@link VersionService} if there is one, on one thread, which
+ * takes all inputs from one queue and never waits for a peer. The connection to a peer is opened when the first message
+ * to it is due. Messages to an unreachable peer are queued up to a bound and dropped, since a late message is worth no
+ * more than a lost one.
  */
 public final class PeerService {
     private static final System.Logger LOG = System.getLogger("vetchrill.peers");
+    private static final int US_PER_TENTH_MS = 100;
+    /** For each peer. */
     private static final int MAX_QUEUED_FRAMES = 32;
     private static final int MAX_QUEUED_INPUTS = 4_096;
 
@@ -43,7 +45,7 @@
     private final SwimMembership membership;
     private final LongSupplier clock;
     private final Runnable onReplaced;
-    /** Null where no versions are agreed on. */
+    /** Null where version management is not configured. */
     private final VersionService versionService;
     private final Listener listener;
     private final WorkerPool readers;
@@ -51,12 +53,13 @@
     private final AtomicLong unsent = new AtomicLong();
     private final ArrayBlockingQueue<Runnable> inputs = new ArrayBlockingQueue<>(MAX_QUEUED_INPUTS);
     private final Map<String, OutboundPeer> outboundPeers = new TreeMap<>();
-    /** By the process that spoke on it last: where its answers go. */
+    /** The connection that a process sent a message on last, by the nonce of the process; replies go there. */
     private final Map<Long, Connection> connectionsByNonce = new HashMap<>();
 
     /**
-     * {@code others} by their names; {@code replaced} is called once, when another process has this one's name. Times
-     * of {@code clock} are tenths of a millisecond that never step. Throws IOException where the address can't be had.
+     * {@code others} has the addresses of all other instances by name; {@code onReplaced} is called once, when another
+     * process has taken this one's name. {@code clock} supplies tenths of a millisecond and never steps;
+     * {@code versionService} may be null. Throws IOException if the address can't be bound.
      */
     public PeerService(MembershipConfig membershipConfig, String name, String zone, InetSocketAddress listenAddress,
             Map<String, InetSocketAddress> others, long nonce, long seed, Limits limits, LongSupplier clock,
@@ -88,19 +91,19 @@
             versionService.start();
         }
         listener.start();
-        outboundPeers.values()
-                .forEach(peer -> Resources.newDaemonThread("to-" + peer.name, peer::sendFrames, limits.threadStackBytes)
-                .start());
+        outboundPeers.values().forEach(peer ->
+                Resources.newDaemonThread("to-" + peer.name, peer::sendFrames, limits.threadStackBytes).start());
         Resources.newDaemonThread("peers", this::run, limits.threadStackBytes * 2L).start();
     }
 
-    /** Says to the others that this instance goes, on any thread. */
+    /** Announces to the other instances that this one leaves. Thread-safe. */
     public void leave() {
         tryPost(membership::leave);
     }
 
     private void tryPost(Runnable input) {
-        // A full queue means that this process stands still: what comes meanwhile is lost like on the way.
+        // The queue is full only while this process is stalled: inputs are dropped then like messages lost in the
+        // network.
         inputs.offer(input);
     }
 
@@ -115,10 +118,11 @@
     private void run() {
         try {
             while (true) {
-                long wakeAt = versionService == null ? membership.wakeAt() : Math.min(membership.wakeAt(),
-                        versionService.wakeAt());
+                long wakeAt = versionService == null ? membership.wakeAt()
+                        : Math.min(membership.wakeAt(), versionService.wakeAt());
                 long delay = wakeAt - clock.getAsLong();
-                Runnable input = delay > 0 ? inputs.poll(delay * 100, TimeUnit.MICROSECONDS) : inputs.poll();
+                Runnable input = delay > 0 ? inputs.poll(delay * US_PER_TENTH_MS, TimeUnit.MICROSECONDS)
+                        : inputs.poll();
                 membership.advanceTime(clock.getAsLong());
                 for (int i = 0; input != null; i++) {
                     input.run();
@@ -152,22 +156,23 @@
         @Override
         public void stateChanged(MemberInfo current, State previous) {
             LOG.log(current.state() == State.ALIVE ? System.Logger.Level.INFO : System.Logger.Level.WARNING,
-                    "peer {0} is {1}, was {2}: life {3}, turn {4}, by {5}; {6} live", current.name(), current.state(),
-                    previous,
-                    current.incarnation(), current.refutations(), current.reportedBy(), membership.liveCount());
+                    "peer {0} is {1}, was {2}: incarnation {3}, refutation {4}, reported by {5}; {6} live",
+                    current.name(), current.state(), previous, current.incarnation(), current.refutations(),
+                    current.reportedBy(), membership.liveCount());
         }
 
         @Override
         public void replaced(MemberInfo successor) {
-            LOG.log(System.Logger.Level.ERROR, "another process has the name {0}, in life {1}: this one goes",
+            LOG.log(System.Logger.Level.ERROR,
+                    "another process has the name {0}, with incarnation {1}: this one shuts down",
                     successor.name(), successor.incarnation());
             onReplaced.run();
         }
     };
 
-    /** {@code made} is told of it before anything is read, as it may end at once; {@code ended} is told of that. */
-    private void openConnection(DuplexChannel pipe, Consumer<Connection> onOpened, Consumer<Connection> onClosed) {
-        Connection connection = new Connection(pipe, limits, readers, writers, unsent, () -> { });
+    /** Calls {@code onOpened} before it starts reading, since the connection may close, and call the other, at once. */
+    private void openConnection(DuplexChannel channel, Consumer<Connection> onOpened, Consumer<Connection> onClosed) {
+        Connection connection = new Connection(channel, limits, readers, writers, unsent, () -> { });
         onOpened.accept(connection);
         connection.start(new PeerProtocol(new PeerProtocol.Handler() {
             @Override
@@ -191,7 +196,7 @@
             @Override
             public void versionMessage(VersionMessageCodec.Envelope envelope) throws IOException {
                 if (versionService == null) {
-                    throw new IOException("a saying on versions, which are not agreed on here");
+                    throw new IOException("version message, but version management is not configured here");
                 }
                 tryPost(() -> versionService.receive(envelope));
             }
@@ -199,7 +204,7 @@
             @Override
             public void order(byte[] order) throws IOException {
                 if (versionService == null) {
-                    throw new IOException("an order on versions, which are not agreed on here");
+                    throw new IOException("order, but version management is not configured here");
                 }
                 tryPost(() -> connection.send(PeerProtocol.encodeFrame(PeerProtocol.ORDER_REPLY,
                         versionService.handleOrder(order))));
@@ -214,16 +219,16 @@
         }), MembershipMessageCodec.MAX_MESSAGE_BYTES);
     }
 
-    private void acceptConnection(DuplexChannel pipe) {
-        openConnection(pipe, opened -> { }, closed -> { });
+    private void acceptConnection(DuplexChannel channel) {
+        openConnection(channel, opened -> { }, closed -> { });
     }
 
-    /** The way to one peer. */
+    /** The queue of frames to one peer, and its connection. */
     private final class OutboundPeer {
         final String name;
         final InetSocketAddress address;
         final LinkedBlockingQueue<byte[]> frames = new LinkedBlockingQueue<>(MAX_QUEUED_FRAMES);
-        /** Null while there is none. */
+        /** Null while not connected. */
         private final AtomicReference<Connection> connection = new AtomicReference<>();
 
         OutboundPeer(String name, InetSocketAddress address) {
@@ -250,13 +255,13 @@
 
         private Connection connect() {
             try {
-                DuplexChannel pipe = InterpreterLink.Dialer.dialSocket(address,
+                DuplexChannel channel = InterpreterLink.Dialer.dialSocket(address,
                         Math.max(limits.initialConnectTimeoutTenthsMs, membershipConfig.probePeriod()));
-                openConnection(pipe, opened -> connection.set(opened),
+                openConnection(channel, opened -> connection.set(opened),
                         closed -> connection.compareAndSet(closed, null));
                 return connection.get();
             } catch (IOException e) {
-                // What waited for it would be late.
+                // The queued messages would be too late to be of use.
                 frames.clear();
                 return null;
             }
--- a/peers/src/main/java/vetchrill/peers/VersionService.java
+++ b/peers/src/main/java/vetchrill/peers/VersionService.java
@@ -21,24 +21,27 @@
 import vetchrill.versions.VersionManager;
 
 /**
- * Owns {@link VersionManager} in a process, on the thread of {@link PeerService}; only what goes to the disk has a
- * thread of its
- * own. Times are those of the chain's clock.
+ * Runs the {@link VersionManager} of a process on the thread of {@link PeerService}; only writing to the disk has a
+ * thread of its own. Also answers the orders and status queries of tools. Times are those of the instance's clock, in
+ * tenths of a millisecond.
  */
 public final class VersionService {
-    /** What it changes in the instance that it is part of. */
+    /** The instance whose version is managed. */
     public interface ManagedInstance {
-        /** Null where the content could be taken, else why not. */
+        /** Returns null if the content could be activated, else the reason why not. */
         String validate(byte[] content);
 
         void activate(Version version, byte[] content);
 
+        /** From now on nothing is started below the minimum version, and nothing at all from {@code until} on. */
         void updateLease(long minVersion, long until);
     }
 
     private static final System.Logger LOG = System.getLogger("vetchrill.versions");
     private static final ObjectMapper JSON = new ObjectMapper();
+    /** At most so often the advance of a peer's audit log is recorded. */
     private static final long PEER_POSITION_PERIOD_TENTHS_MS = 5_000;
+    private static final long TENTHS_PER_MS = 10;
 
     private final String name;
     private final VersionManager versionManager;
@@ -57,13 +60,12 @@
     }
 
     /**
-     * {@code text} is the digest of the program; {@code audit} may be null. Throws IOException where the store can't
-     * be read.
+     * Activates the version in the store, if there is one. {@code programDigest} is the digest of the program;
+     * {@code auditWriter} may be null. Throws IOException if the instance rejects that version.
      */
     public VersionService(VersionsConfig config, String name, String zone, String programDigest, long nonce,
-            InstanceStore store, long seed,
-            LongSupplier clock, HybridLogicalClock hybridClock, AuditWriter auditWriter, ManagedInstance instance)
-            throws IOException {
+            InstanceStore store, long seed, LongSupplier clock, HybridLogicalClock hybridClock,
+            AuditWriter auditWriter, ManagedInstance instance) throws IOException {
         this.name = name;
         this.store = store;
         this.instance = instance;
@@ -72,23 +74,25 @@
         this.auditWriter = auditWriter;
         DurableState state = store.recoveredState();
         versionManager = new VersionManager(config, name, zone, programDigest, nonce, state, seed, clock.getAsLong());
-        // Before anything comes: by what it decided last, and nothing before the keepers were heard.
+        // Before any input, the last active version is activated; nothing is started before the voters grant a lease.
         if (versionManager.activeVersion() != null) {
             String rejectReason = instance.validate(versionManager.activeContent());
             if (rejectReason != null) {
-                throw new IOException("version " + versionManager.activeNumber()
-                        + ", which is kept here, can't be taken: "
+                throw new IOException("version " + versionManager.activeNumber() + " in the store is rejected: "
                         + rejectReason);
             }
             instance.activate(versionManager.activeVersion(), versionManager.activeContent());
         }
         instance.updateLease(versionManager.minVersion(), versionManager.leaseUntil());
         if (state == null) {
-            LOG.log(System.Logger.Level.INFO, "nothing is remembered here: the floor is asked for");
+            LOG.log(System.Logger.Level.INFO, "no state in the store: querying the voters for the minimum version");
         }
     }
 
-    /** Of {@link PeerService}, once, before its thread runs; {@code post} waits for room rather than lose an input. */
+    /**
+     * Called by {@link PeerService} once, before its thread runs. {@code ownerExecutor} runs tasks on that thread; it
+     * waits for room in the queue rather than drop one.
+     */
     void attach(Consumer<Runnable> ownerExecutor, Sender sender, long stackBytes) {
         this.ownerExecutor = ownerExecutor;
         this.sender = sender;
@@ -99,7 +103,7 @@
         store.writer.start(stackBytes);
     }
 
-    // On the thread of Peering.
+    // On the thread of PeerService.
 
     void receive(VersionMessageCodec.Envelope envelope) {
         hybridClock.observe(envelope.hybridTime());
@@ -110,17 +114,20 @@
         }
     }
 
-    /** What one peer said of its record is noted now and then, and at least when it has come much further. */
+    /**
+     * How far a peer's audit log has come, as reported by it. A report is recorded if it contradicts the last recorded
+     * one; if the log has merely advanced, at most once in {@link #PEER_POSITION_PERIOD_TENTHS_MS}.
+     */
     private final class PeerAuditPosition {
         private long block = -1;
         private String digest = "";
         private long recordedAt = Long.MIN_VALUE / 2;
 
         void update(VersionMessageCodec.Envelope envelope) {
-            boolean diverged = envelope.auditBlock() < block || envelope.auditBlock() == block
-                    && !envelope.auditDigest().equals(digest);
-            if (diverged || envelope.auditBlock() > block && clock.getAsLong() - recordedAt
-                    >= PEER_POSITION_PERIOD_TENTHS_MS) {
+            boolean diverged = envelope.auditBlock() < block
+                    || envelope.auditBlock() == block && !envelope.auditDigest().equals(digest);
+            if (diverged || envelope.auditBlock() > block
+                    && clock.getAsLong() - recordedAt >= PEER_POSITION_PERIOD_TENTHS_MS) {
                 recordedAt = clock.getAsLong();
                 block = envelope.auditBlock();
                 digest = envelope.auditDigest();
@@ -149,8 +156,7 @@
         @Override
         public void send(String to, VersionMessage message) {
             AuditWriter.Position auditPosition = auditWriter == null ? null : auditWriter.position();
-            sender.send(to,
-                    VersionMessageCodec.encode(new VersionMessageCodec.Envelope(hybridClock.next(),
+            sender.send(to, VersionMessageCodec.encode(new VersionMessageCodec.Envelope(hybridClock.next(),
                     auditPosition == null ? -1 : auditPosition.block(),
                     auditPosition == null ? "" : auditPosition.digest(), message)));
         }
@@ -189,9 +195,9 @@
         }
     };
 
-    // What a tool asks and orders, as JSON.
+    // Orders and status queries of tools, in JSON.
 
-    /** Answers with a key {@code error} where it is not done. */
+    /** Executes an order. The reply is the status, with a key {@code error} if the order failed. */
     byte[] handleOrder(byte[] orderJson) {
         ObjectNode reply = JSON.createObjectNode();
         try {
@@ -201,13 +207,13 @@
                 case "publish" -> publish(order, reply);
                 case "floor" -> versionManager.minVersion(order.path("number").asLong());
                 case "halt" -> versionManager.halt(order.path("number").asLong());
-                default -> "no order that is known here: " + order.path("order");
+                default -> "unknown order: " + order.path("order");
             };
             if (error != null) {
                 reply.put("error", error);
             }
         } catch (IOException | IllegalArgumentException e) {
-            reply.put("error", "no order: " + String.valueOf(e.getMessage()).split("\n")[0]);
+            reply.put("error", "invalid order: " + String.valueOf(e.getMessage()).split("\n")[0]);
         }
         addStatus(reply);
         return reply.toString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
@@ -216,7 +222,7 @@
     private String publish(JsonNode order, ObjectNode reply) throws IOException {
         byte[] content = order.path("content").binaryValue();
         if (content == null || content.length > Version.MAX_SIZE_BYTES) {
-            return "no content of up to " + Version.MAX_SIZE_BYTES + " octets";
+            return "the content is missing or larger than " + Version.MAX_SIZE_BYTES + " bytes";
         }
         long highest = Math.max(versionManager.activeNumber(), versionManager.minVersion());
         for (VersionMessage.KnownVersion each : versionManager.versions()) {
@@ -232,7 +238,7 @@
         }
         reply.put("published", number);
         return versionManager.publish(new Version(number, name, Digests.of(content), content.length,
-                order.path("text").asText(""), stages, order.path("hold_ms").asLong() * 10), content);
+                order.path("text").asText(""), stages, order.path("hold_ms").asLong() * TENTHS_PER_MS), content);
     }
 
     private void addStatus(ObjectNode reply) {
@@ -243,12 +249,12 @@
                 .put("floor", versionManager.minVersion())
                 .put("confirmed", versionManager.confirmedMinVersion()).put("barred", versionManager.isFenced());
         if (versionManager.leaseUntil() > Long.MIN_VALUE) {
-            reply.put("lease_ms", (versionManager.leaseUntil() - now) / 10);
+            reply.put("lease_ms", (versionManager.leaseUntil() - now) / TENTHS_PER_MS);
         }
         ArrayNode knownVersions = reply.putArray("versions");
         for (VersionMessage.KnownVersion each : versionManager.versions()) {
             knownVersions.addObject().put("number", each.version().number()).put("digest", each.version().digest())
-                    .put("author", each.version().author()).put("age_ms", each.age() / 10)
+                    .put("author", each.version().author()).put("age_ms", each.age() / TENTHS_PER_MS)
                     .put("stopped", each.stopReason());
         }
         ArrayNode instances = reply.putArray("instances");
@@ -257,7 +263,8 @@
                 .put("heard_ms", 0);
         for (VersionManager.PeerReport each : versionManager.peerReports()) {
             instances.addObject().put("name", each.name()).put("taken", each.status().activeVersion())
-                    .put("why", each.status().rejectReason()).put("heard_ms", (now - each.receivedAt()) / 10);
+                    .put("why", each.status().rejectReason())
+                    .put("heard_ms", (now - each.receivedAt()) / TENTHS_PER_MS);
         }
         ArrayNode voters = reply.putArray("keepers");
         for (VersionMessage.VoterPromise each : versionManager.promises()) {
--- a/peers/src/test/java/vetchrill/audit/SegmentFormatTest.java
+++ b/peers/src/test/java/vetchrill/audit/AuditSegmentFormatTest.java
@@ -15,37 +15,39 @@
 import vetchrill.routing.Recorder;
 
 /**
- * The bytes of the audit log. {@code instance-1-00000000.audit} was written by {@link #writeExamples} with the build of
- * commit 04d6cf3; logs are read years later and go on where an earlier build ended, so it is not to be written again.
+ * The format of the audit log. {@code instance-1-00000000.audit} was written by {@link #writeExamples} with the build
+ * of commit 04d6cf3. Logs of earlier builds must stay readable and are continued by later builds, so the file must not
+ * be regenerated.
  */
 @Test
-public class SegmentFormatTest {
+public class AuditSegmentFormatTest {
     private static final String NAME = "instance-1";
     private static final String FILE = NAME + "-00000000.audit";
+    private static final long EXCHANGE_ID = 0x1234567890abcdefL;
     private static final long WALL_MS = 1_700_000_000_000L;
-    private static final long FIRST = WALL_MS << HybridLogicalClock.COUNTER_BITS;
+    private static final long FIRST_TIME = WALL_MS << HybridLogicalClock.COUNTER_BITS;
     private static final int BLOCK_DEADLINE_MS = 20_000;
 
-    /** Fails once when told to. */
+    /** Fails one write after {@link #failing} is set. */
     private static final class FailingOnce implements AuditWriter.Disk {
         private volatile boolean failing;
 
         @Override
-        public void write(FileChannel to, ByteBuffer bytes) throws IOException {
+        public void write(FileChannel channel, ByteBuffer bytes) throws IOException {
             if (failing) {
                 failing = false;
-                throw new IOException("the test wants it");
+                throw new IOException("simulated failure");
             }
-            AuditWriter.FILE_SYSTEM.write(to, bytes);
+            AuditWriter.FILE_SYSTEM.write(channel, bytes);
         }
 
         @Override
-        public void sync(FileChannel of) throws IOException {
-            AuditWriter.FILE_SYSTEM.sync(of);
+        public void sync(FileChannel channel) throws IOException {
+            AuditWriter.FILE_SYSTEM.sync(channel);
         }
     }
 
-    /** A block for each row, so that the order and the times are the same in each run. */
+    /** Writes a block for each event, so that their order and times are the same in each run. */
     static void writeExamples(Path folder) throws Exception {
         FailingOnce disk = new FailingOnce();
         AuditWriter writer = new AuditWriter(new AuditConfig(folder, 16, 10, 1 << 20, 1 << 22), NAME, 1L << 60,
@@ -53,10 +55,10 @@
         awaitBlock(writer, 0);
         writer.versionActivated(17);
         awaitBlock(writer, 1);
-        writer.runRequested(0x1234567890abcdefL, 17, 2, 3, 40_000);
+        writer.runRequested(EXCHANGE_ID, 17, 2, 3, 40_000);
         awaitBlock(writer, 2);
         Recorder.ExchangeRow exchange = writer.claimExchangeRow();
-        exchange.id = 0x1234567890abcdefL;
+        exchange.id = EXCHANGE_ID;
         exchange.version = 17;
         exchange.group = 2;
         exchange.customer = 3;
@@ -81,36 +83,36 @@
         assertEquals(writer.position().block(), block);
     }
 
-    private static List<AuditEvent> exampleRows() {
+    private static List<AuditEvent> exampleEvents() {
         return List.of(
-                new AuditEvent(AuditEvent.Kind.LIFE, FIRST, 1L << 60, 0, 0, 0, 0, 0, NAME, "an example"),
-                new AuditEvent(AuditEvent.Kind.TAKEN, FIRST + 1, 0, 17, 0, 0, 0, 0, "", ""),
-                new AuditEvent(AuditEvent.Kind.BEGUN, FIRST + 2, 0x1234567890abcdefL, 17, 2, 3, 0, 40_000, "", ""),
-                new AuditEvent(AuditEvent.Kind.OVER, FIRST + 3, 0x1234567890abcdefL, 17, 2, 3, 3, 41_000, "", ""),
-                new AuditEvent(AuditEvent.Kind.EVENT, FIRST + 4, 0, 17, 0, 0, 0, 0, "TAKEN", "instance-2: text"),
-                new AuditEvent(AuditEvent.Kind.HEAD, FIRST + 5, 99, 0, 0, 0, 0, 0, "instance-2", "ab".repeat(32)),
-                // The time between was that of the row which is missing.
-                new AuditEvent(AuditEvent.Kind.LEFT_OUT, FIRST + 7, 1, 0, 0, 0, 0, 0, "", ""),
-                new AuditEvent(AuditEvent.Kind.END, FIRST + 8, 0, 0, 0, 0, 0, 0, NAME, ""));
+                new AuditEvent(AuditEvent.Kind.LIFE, FIRST_TIME, 1L << 60, 0, 0, 0, 0, 0, NAME, "an example"),
+                new AuditEvent(AuditEvent.Kind.TAKEN, FIRST_TIME + 1, 0, 17, 0, 0, 0, 0, "", ""),
+                new AuditEvent(AuditEvent.Kind.BEGUN, FIRST_TIME + 2, EXCHANGE_ID, 17, 2, 3, 0, 40_000, "", ""),
+                new AuditEvent(AuditEvent.Kind.OVER, FIRST_TIME + 3, EXCHANGE_ID, 17, 2, 3, 3, 41_000, "", ""),
+                new AuditEvent(AuditEvent.Kind.EVENT, FIRST_TIME + 4, 0, 17, 0, 0, 0, 0, "TAKEN", "instance-2: text"),
+                new AuditEvent(AuditEvent.Kind.HEAD, FIRST_TIME + 5, 99, 0, 0, 0, 0, 0, "instance-2", "ab".repeat(32)),
+                // The time before this one was that of the lost event.
+                new AuditEvent(AuditEvent.Kind.LEFT_OUT, FIRST_TIME + 7, 1, 0, 0, 0, 0, 0, "", ""),
+                new AuditEvent(AuditEvent.Kind.END, FIRST_TIME + 8, 0, 0, 0, 0, 0, 0, NAME, ""));
     }
 
-    public void theBytesWrittenAreThoseOfTheFile() throws Exception {
+    public void writtenBytesEqualTheFile() throws Exception {
         Path folder = Files.createTempDirectory("audit-format");
         writeExamples(folder);
         assertEquals(AuditSegments.filesIn(folder), List.of(folder.resolve(FILE)));
         assertEquals(Files.readAllBytes(folder.resolve(FILE)), Files.readAllBytes(example()));
     }
 
-    public void theFileIsReadWithTheSameValues() throws Exception {
-        List<AuditEvent> rows = new ArrayList<>();
+    public void readEventsEqualTheExamples() throws Exception {
+        List<AuditEvent> events = new ArrayList<>();
         List<Long> blocks = new ArrayList<>();
         AuditSegments.SegmentEnd end = AuditSegments.read(example(), new AuditSegments.Visitor() {
             @Override
-            public void segment(Path file, AuditSegments.Header head) {
-                assertEquals(head.name(), NAME);
-                assertEquals(head.number(), 0);
-                assertEquals(head.firstBlock(), 0);
-                assertEquals(head.previousDigest(), new byte[32]);
+            public void segment(Path file, AuditSegments.Header header) {
+                assertEquals(header.name(), NAME);
+                assertEquals(header.number(), 0);
+                assertEquals(header.firstBlock(), 0);
+                assertEquals(header.previousDigest(), new byte[32]);
             }
 
             @Override
@@ -120,28 +122,28 @@
             }
 
             @Override
-            public void event(AuditEvent row) {
-                rows.add(row);
+            public void event(AuditEvent event) {
+                events.add(event);
             }
 
             @Override
-            public void unreadable(Path file, long at, long left, String why) {
-                throw new AssertionError(why);
+            public void unreadable(Path file, long offset, long remaining, String problem) {
+                throw new AssertionError(problem);
             }
         });
-        assertEquals(rows, exampleRows());
+        assertEquals(events, exampleEvents());
         assertEquals(blocks, List.of(0L, 1L, 2L, 3L, 4L, 5L, 6L, 7L));
         assertEquals(end.intactBytes(), Files.size(example()));
         assertEquals(end.nextBlock(), 8);
     }
 
-    /** Their place in this order is in the file, and their names are in the columns that the tool writes. */
-    public void kindsHaveTheseNamesInThisOrder() {
+    /** The ordinal is in the file, and the name in the tables that the tool writes. */
+    public void kindsHaveStableNamesAndOrder() {
         assertEquals(Arrays.stream(AuditEvent.Kind.values()).map(Enum::name).toList(),
                 List.of("LIFE", "TAKEN", "BEGUN", "OVER", "EVENT", "HEAD", "LEFT_OUT", "END"));
     }
 
     private static Path example() throws Exception {
-        return Path.of(SegmentFormatTest.class.getResource("/formats/" + FILE).toURI());
+        return Path.of(AuditSegmentFormatTest.class.getResource("/formats/" + FILE).toURI());
     }
 }
--- a/peers/src/test/java/vetchrill/peers/FormatExamples.java
+++ b/peers/src/test/java/vetchrill/peers/FormatExamples.java
@@ -14,7 +14,7 @@
 import vetchrill.versions.VersionMessage;
 import vetchrill.versions.Version;
 
-/** Values with every component filled, and the files under {@code formats} that hold them as bytes. */
+/** Records with every component filled, and access to the files under {@code formats} with their encoding. */
 final class FormatExamples {
     private FormatExamples() {
     }
@@ -28,30 +28,29 @@
         return new byte[] {1, -2, 127};
     }
 
-    static DurableState memory() {
+    static DurableState durableState() {
         return new DurableState("instance-1", 42, 3, true, 16,
                 List.of(new VersionMessage.VoterPromise("instance-1", 3, 16),
-                new VersionMessage.VoterPromise("instance-2", 1L << 40, 15)),
-                version(), content(), List.of(new VersionMessage.KnownVersion(version(), 123_450, "worse than before")),
+                        new VersionMessage.VoterPromise("instance-2", 1L << 40, 15)),
+                version(), content(),
+                List.of(new VersionMessage.KnownVersion(version(), 123_450, "worse than before")),
                 List.of(new VersionMessage.PersistedRevision("instance-2", 7),
-                new VersionMessage.PersistedRevision("instance-3", 0)));
+                        new VersionMessage.PersistedRevision("instance-3", 0)));
     }
 
-    /** A message in which everything is filled, also what this kind does not need. */
+    /** A message with all components filled, including those that this kind does not use. */
     static VersionMessageCodec.Envelope envelope(VersionMessage.Kind kind) {
-        VersionMessage.GossipState news =
-                new VersionMessage.GossipState(List.of(new VersionMessage.KnownVersion(version(), 98_760, "")), 16,
+        VersionMessage.GossipState gossipState = new VersionMessage.GossipState(
+                List.of(new VersionMessage.KnownVersion(version(), 98_760, "")), 16,
                 List.of(new VersionMessage.VoterPromise("instance-2", 5, 15)));
-        VersionMessage.InstanceStatus standing = new VersionMessage.InstanceStatus(16, true, false, 41, 17,
-                "out of memory", 15, 1_000_000, 300,
-                20, 1);
-        VersionMessage saying = new VersionMessage(kind, "instance-1", "zone-a", -5_000_000_000L, 77, 40, news,
-                standing,
-                new VersionMessage.Chunk("0123456789abcdef".repeat(4), 16_384, content()));
-        return new VersionMessageCodec.Envelope(1_700_000_000_000L << 16 | 9, 12, "ab".repeat(32), saying);
+        VersionMessage.InstanceStatus status = new VersionMessage.InstanceStatus(16, true, false, 41, 17,
+                "out of memory", 15, 1_000_000, 300, 20, 1);
+        VersionMessage message = new VersionMessage(kind, "instance-1", "zone-a", -5_000_000_000L, 77, 40, gossipState,
+                status, new VersionMessage.Chunk("0123456789abcdef".repeat(4), 16_384, content()));
+        return new VersionMessageCodec.Envelope(1_700_000_000_000L << 16 | 9, 12, "ab".repeat(32), message);
     }
 
-    /** The lines of a file: a name, a space, bytes in hexadecimal digits. */
+    /** The lines of a file, each a name, a space and bytes in hexadecimal digits. */
     static Map<String, byte[]> hexLines(String file) throws IOException {
         Map<String, byte[]> lines = new TreeMap<>();
         for (String line : text(file).split("\n")) {
--- a/peers/src/test/java/vetchrill/peers/StoreFormatTest.java
+++ b/peers/src/test/java/vetchrill/peers/StoreFormatTest.java
@@ -17,27 +17,26 @@
 import vetchrill.versions.DurableState;
 
 /**
- * The bytes of a store on the disk. The folder {@code store} was written by {@link #commitExamples} with the build of
- * commit 04d6cf3, and {@code store-memory.hex} holds what {@link InstanceStore#changesFor} gave then; an instance must
- * read the
- * store that an earlier build left, so neither is to be written again.
+ * The format of the durable store. The directory {@code store} was written by {@link #commitExamples} with the build of
+ * commit 04d6cf3, and {@code store-state.hex} has the result of {@link InstanceStore#changesFor} of that build. An
+ * instance must be able to read the store of an earlier build, so the files must not be regenerated.
  */
 @Test
 public class StoreFormatTest {
     private static final String OWNER = "instance-1";
 
-    /** Three commits, and a snapshot that has its end before the second. */
-    static void commitExamples(DurableStore journal) throws IOException {
-        journal.commit(List.of(new Change("dropped", new byte[] {5}), new Change("more", new byte[] {6, 7})), false);
-        while (journal.continueSnapshot()) {
+    /** Makes three commits; the snapshot is completed before the second. */
+    static void commitExamples(DurableStore store) throws IOException {
+        store.commit(List.of(new Change("dropped", new byte[] {5}), new Change("more", new byte[] {6, 7})), false);
+        while (store.continueSnapshot()) {
             continue;
         }
-        journal.commit(InstanceStore.changesFor(FormatExamples.memory(), null), true);
-        journal.commit(List.of(new Change("dropped", null)), false);
-        journal.close();
+        store.commit(InstanceStore.changesFor(FormatExamples.durableState(), null), true);
+        store.commit(List.of(new Change("dropped", null)), false);
+        store.close();
     }
 
-    public void theBytesWrittenAreThoseOfTheFiles() throws Exception {
+    public void writtenBytesEqualTheFiles() throws Exception {
         Path written = Files.createTempDirectory("store-format");
         try (FolderDisk disk = FolderDisk.openLocked(written)) {
             commitExamples(new DurableStore(disk, OWNER, DurableStore.MIN_CAPACITY_BYTES));
@@ -53,37 +52,36 @@
         }
     }
 
-    public void theJournalReadsTheFiles() throws Exception {
-        DurableStore journal = new DurableStore(FolderDisk.openReadOnly(FormatExamples.path("store")), OWNER,
+    public void durableStoreReadsTheFiles() throws Exception {
+        DurableStore store = new DurableStore(FolderDisk.openReadOnly(FormatExamples.path("store")), OWNER,
                 DurableStore.MIN_CAPACITY_BYTES);
-        assertEquals(journal.outcome(), DurableStore.RecoveryOutcome.WHOLE, journal.problem());
-        assertEquals(journal.lastCommit(), 3);
-        assertEquals(List.copyOf(journal.entries().keySet()), List.of("content", "memory", "more"));
-        assertEquals(journal.entries().get("more"), new byte[] {6, 7});
-        assertEquals(journal.entries().get("content"), FormatExamples.content());
+        assertEquals(store.outcome(), DurableStore.RecoveryOutcome.WHOLE, store.problem());
+        assertEquals(store.lastCommit(), 3);
+        assertEquals(List.copyOf(store.entries().keySet()), List.of("content", "memory", "more"));
+        assertEquals(store.entries().get("more"), new byte[] {6, 7});
+        assertEquals(store.entries().get("content"), FormatExamples.content());
     }
 
-    public void theStoreReadsTheMemoryInTheFiles() throws Exception {
+    public void instanceStoreReadsTheStateInTheFiles() throws Exception {
         InstanceStore store = new InstanceStore(FolderDisk.openReadOnly(FormatExamples.path("store")), OWNER,
                 DurableStore.MIN_CAPACITY_BYTES);
-        DurableState read = store.recoveredState();
-        DurableState wanted = FormatExamples.memory();
-        // An array has no equality of its own.
-        assertEquals(read.activeContent(), wanted.activeContent());
-        assertEquals(withoutContent(read), withoutContent(wanted));
-        assertEquals(read.activeVersion(), wanted.activeVersion());
+        DurableState recovered = store.recoveredState();
+        DurableState expected = FormatExamples.durableState();
+        // Compared by itself, since a record compares arrays by identity.
+        assertEquals(recovered.activeContent(), expected.activeContent());
+        assertEquals(withoutContent(recovered), withoutContent(expected));
+        assertEquals(recovered.activeVersion(), expected.activeVersion());
     }
 
-    private static DurableState withoutContent(DurableState memory) {
-        return new DurableState(memory.name(), memory.revision(), memory.incarnation(), memory.intact(),
-                memory.minVersion(),
-                memory.promises(), null, null, memory.versions(), memory.peerRevisions());
+    private static DurableState withoutContent(DurableState state) {
+        return new DurableState(state.name(), state.revision(), state.incarnation(), state.intact(),
+                state.minVersion(), state.promises(), null, null, state.versions(), state.peerRevisions());
     }
 
-    public void theChangesOfAMemoryAreThoseOfTheFile() throws IOException {
-        Map<String, byte[]> lines = FormatExamples.hexLines("store-memory.hex");
+    public void changesForAStateEqualTheFile() throws IOException {
+        Map<String, byte[]> lines = FormatExamples.hexLines("store-state.hex");
         List<String> keys = new ArrayList<>();
-        for (Change each : InstanceStore.changesFor(FormatExamples.memory(), null)) {
+        for (Change each : InstanceStore.changesFor(FormatExamples.durableState(), null)) {
             assertEquals(each.value(), lines.get(each.key()), each.key());
             keys.add(each.key());
         }
@@ -91,8 +89,8 @@
         assertEquals(lines.size(), 2);
     }
 
-    /** They go out by name in the status reply, and the worse comes later. */
-    public void whatWasFoundHasTheseNames() {
+    /** The names are in the status reply; the order is that of severity. */
+    public void recoveryOutcomesHaveStableNames() {
         assertEquals(Arrays.stream(DurableStore.RecoveryOutcome.values()).map(Enum::name).toList(),
                 List.of("EMPTY", "WHOLE", "TORN", "DAMAGED", "FOREIGN"));
     }
