--- a/peers/src/main/java/vetchrill/audit/AuditSegments.java
+++ b/peers/src/main/java/vetchrill/audit/AuditSegments.java
@@ -12,6 +12,7 @@
 import java.nio.file.Path;
 import java.security.MessageDigest;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.HexFormat;
 import java.util.List;
 import java.util.zip.CRC32C;
@@ -26,13 +27,14 @@
 public final class AuditSegments {
     static final CBORFactory CBOR = new CBORFactory();
     static final byte[] FORMAT = "VAUDIT01".getBytes(StandardCharsets.US_ASCII);
+    private static final int FORMAT_BYTES = 8;
     static final int DIGEST_BYTES = 32;
     static final int NAME_BYTES = 128;
-    static final int HEADER_BYTES = 8 + NAME_BYTES + 8 + 8 + DIGEST_BYTES;
-    static final int BLOCK_HEADER_BYTES = 4 + 4 + DIGEST_BYTES;
-    private static final int BLOCK_CRC_OFFSET_BYTES = 4;
-    /** The first field of a block that its checksum covers. */
-    private static final int BLOCK_DIGEST_OFFSET_BYTES = 8;
+    static final int HEADER_BYTES = FORMAT_BYTES + NAME_BYTES + 2 * Long.BYTES + DIGEST_BYTES;
+    private static final int BLOCK_CRC_OFFSET_BYTES = Integer.BYTES;
+    /** Of the digest, the first field of a block that its checksum covers. */
+    private static final int BLOCK_DIGEST_OFFSET_BYTES = 2 * Integer.BYTES;
+    static final int BLOCK_HEADER_BYTES = BLOCK_DIGEST_OFFSET_BYTES + DIGEST_BYTES;
     static final int MAX_BLOCK_BYTES = 8 << 20;
 
     /** The header of a segment; a name of more than {@link #NAME_BYTES} is cut off. */
@@ -40,7 +42,7 @@
         byte[] encode() {
             ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES);
             byte[] text = name.getBytes(StandardCharsets.UTF_8);
-            buffer.put(FORMAT).put(text, 0, Math.min(NAME_BYTES, text.length)).position(8 + NAME_BYTES);
+            buffer.put(FORMAT).put(text, 0, Math.min(NAME_BYTES, text.length)).position(FORMAT_BYTES + NAME_BYTES);
             return buffer.putLong(number).putLong(firstBlock).put(previousDigest).array();
         }
 
@@ -50,7 +52,7 @@
             byte[] name = new byte[NAME_BYTES];
             byte[] previousDigest = new byte[DIGEST_BYTES];
             buffer.get(format).get(name);
-            if (!java.util.Arrays.equals(format, FORMAT)) {
+            if (!Arrays.equals(format, FORMAT)) {
                 throw new IOException("not a segment of an audit log, or of another format");
             }
             long number = buffer.getLong();
--- a/peers/src/main/java/vetchrill/peers/PeerProtocol.java
+++ b/peers/src/main/java/vetchrill/peers/PeerProtocol.java
@@ -1,6 +1,7 @@
 package vetchrill.peers;
 
 import java.io.IOException;
+import java.util.Arrays;
 import vetchrill.members.MembershipMessage;
 import vetchrill.transport.Connection;
 
@@ -79,7 +80,7 @@
                 handler.versionMessage(VersionMessageCodec.decode(buf, from + HEADER_BYTES,
                         length + LENGTH_FIELD_BYTES - HEADER_BYTES));
             } else if (type == ORDER) {
-                handler.order(java.util.Arrays.copyOfRange(buf, from + HEADER_BYTES,
+                handler.order(Arrays.copyOfRange(buf, from + HEADER_BYTES,
                         from + LENGTH_FIELD_BYTES + length));
             } else {
                 throw new IOException("unknown frame type " + type);
@@ -93,7 +94,7 @@
     }
 
     @Override
-    public void inputEnded(String why, boolean gone) {
+    public void inputEnded(String reason, boolean disconnected) {
         handler.closed();
     }
 }
--- a/peers/src/main/java/vetchrill/peers/PeerService.java
+++ b/peers/src/main/java/vetchrill/peers/PeerService.java
@@ -50,7 +50,7 @@
     private final Listener listener;
     private final WorkerPool readers;
     private final WorkerPool writers;
-    private final AtomicLong unsent = new AtomicLong();
+    private final AtomicLong totalUnsentBytes = new AtomicLong();
     private final ArrayBlockingQueue<Runnable> inputs = new ArrayBlockingQueue<>(MAX_QUEUED_INPUTS);
     private final Map<String, OutboundPeer> outboundPeers = new TreeMap<>();
     /** The connection that a process sent a message on last, by the nonce of the process; replies go there. */
@@ -172,7 +172,7 @@
 
     /** Calls {@code onOpened} before it starts reading, since the connection may close, and call the other, at once. */
     private void openConnection(DuplexChannel channel, Consumer<Connection> onOpened, Consumer<Connection> onClosed) {
-        Connection connection = new Connection(channel, limits, readers, writers, unsent, () -> { });
+        Connection connection = new Connection(channel, limits, readers, writers, totalUnsentBytes, () -> { });
         onOpened.accept(connection);
         connection.start(new PeerProtocol(new PeerProtocol.Handler() {
             @Override
--- a/peers/src/main/java/vetchrill/peers/VersionService.java
+++ b/peers/src/main/java/vetchrill/peers/VersionService.java
@@ -5,6 +5,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -31,6 +32,7 @@
         /** Returns null if the content could be activated, else the reason why not. */
         String validate(byte[] content);
 
+        /** From now on exchanges that arrive are decided by this version. */
         void activate(Version version, byte[] content);
 
         /** From now on nothing is started below the minimum version, and nothing at all from {@code until} on. */
@@ -216,7 +218,7 @@
             reply.put("error", "invalid order: " + String.valueOf(e.getMessage()).split("\n")[0]);
         }
         addStatus(reply);
-        return reply.toString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
+        return reply.toString().getBytes(StandardCharsets.UTF_8);
     }
 
     private String publish(JsonNode order, ObjectNode reply) throws IOException {
--- a/peers/src/main/java/vetchrill/store/DurableStore.java
+++ b/peers/src/main/java/vetchrill/store/DurableStore.java
@@ -63,6 +63,7 @@
     private static final String LOG_SUFFIX = ".log";
     private static final String SNAPSHOT_SUFFIX = ".snap";
     private static final String FILE_NAME_PATTERN = "[0-9]{8}\\.(log|snap)";
+    private static final int FILE_NUMBER_DIGITS = 8;
     /** Of damaged or foreign files that are kept for staff. */
     private static final String ASIDE_PREFIX = "aside-";
     private static final int SNAPSHOT_FRAME_BYTES = 64 << 10;
@@ -137,7 +138,8 @@
             if (name.matches(FILE_NAME_PATTERN)) {
                 byte[] bytes = disk.readFile(name);
                 fileSizes.put(name, (long) bytes.length);
-                (name.endsWith(LOG_SUFFIX) ? logs : snapshots).put(Long.parseLong(name.substring(0, 8)), bytes);
+                (name.endsWith(LOG_SUFFIX) ? logs : snapshots)
+                        .put(Long.parseLong(name.substring(0, FILE_NUMBER_DIGITS)), bytes);
             }
         }
         if (logs.isEmpty() && snapshots.isEmpty()) {
@@ -360,9 +362,9 @@
 
     /**
      * Makes all of these changes atomically; they are on the disk when it returns. Throws StoreFullException if there
-     * is no room, and IOException if the disk fails: the commit is void then, whatever of it may be on the disk. With
-     * {@code mayUseReserve} the commit may use the last eighth of the room for entries, which is kept free for changes
-     * that bind the instance, such as a voter's promises.
+     * is no room or they would take more than half of a log, and IOException if the disk fails: the commit is void
+     * then, whatever of it may be on the disk. With {@code mayUseReserve} the commit may use the last eighth of the
+     * room for entries, which is kept free for changes that bind the instance, such as a voter's promises.
      */
     public void commit(List<Change> changes, boolean mayUseReserve) throws IOException {
         byte[] frame = encodeFrame(COMMIT_FRAME, lastCommit + 1, encodeChanges(changes));
@@ -482,7 +484,7 @@
         snapshotBytesDue = 0;
         // All older files are obsolete now; those that can't be deleted at once are tried again later.
         for (String each : fileSizes.keySet()) {
-            if (Long.parseLong(each.substring(0, 8)) < fileNumber && !obsoleteFiles.contains(each)) {
+            if (Long.parseLong(each.substring(0, FILE_NUMBER_DIGITS)) < fileNumber && !obsoleteFiles.contains(each)) {
                 obsoleteFiles.add(each);
             }
         }
