--- a/instance/src/main/java/vetchrill/program/DrainStep.java
+++ b/instance/src/main/java/vetchrill/program/DrainStep.java
@@ -15,6 +15,8 @@
  * @param action what is done then
  */
 public record DrainStep(long at, Runnable action) {
+    private static final int MICROS_PER_TENTH_MS = 100;
+
     /**
      * All steps in their order, the first of them due at once.
      *
@@ -36,7 +38,7 @@
     }
 
     /**
-     * Runs the steps when they are due. A configuration that is reloaded meanwhile can move the stop forward. A later
+     * Runs the steps when they are due. A configuration that is reloaded meanwhile can set an earlier stop. A later
      * stop is ignored, since whoever ends this process may go by the one that was configured when the drain was
      * requested.
      */
@@ -46,7 +48,7 @@
         List<DrainStep> steps = stepsUntil.apply(stopAt);
         for (int next = 0; next < steps.size();) {
             long wait = steps.get(next).at - clock.now();
-            Long reloaded = wait > 0 ? reloadedDrainTimes.poll(wait * 100, TimeUnit.MICROSECONDS)
+            Long reloaded = wait > 0 ? reloadedDrainTimes.poll(wait * MICROS_PER_TENTH_MS, TimeUnit.MICROSECONDS)
                     : reloadedDrainTimes.poll();
             if (reloaded != null && drainNoticeAt + reloaded < stopAt) {
                 stopAt = drainNoticeAt + reloaded;
--- a/instance/src/main/java/vetchrill/program/InstanceRunner.java
+++ b/instance/src/main/java/vetchrill/program/InstanceRunner.java
@@ -22,6 +22,8 @@
 /** Runs one instance from its start to the end of its drain. */
 public final class InstanceRunner {
     private static final System.Logger LOG = System.getLogger("vetchrill");
+    private static final int EXIT_INVALID_CONFIGURATION = 2;
+    private static final int EXIT_INTERNAL_ERROR = 70;
 
     private InstanceRunner() {
     }
@@ -61,7 +63,7 @@
             configuration = new StartConfiguration(environment);
         } catch (IllegalArgumentException e) {
             System.err.println("vetchrill: " + e.getMessage());
-            return 2;
+            return EXIT_INVALID_CONFIGURATION;
         }
         Limits limits = configuration.limits;
         DecisionThread thread = new DecisionThread(clock, limits);
@@ -72,7 +74,7 @@
             listener = bind(configuration, limits, clock, chain, signals);
         } catch (IOException e) {
             System.err.println("vetchrill: can't listen on " + configuration.listenAddress + ": " + e.getMessage());
-            return 2;
+            return EXIT_INVALID_CONFIGURATION;
         }
         if (listener == null) {
             return 0;
@@ -83,13 +85,13 @@
             }
         } catch (IOException | IllegalArgumentException e) {
             System.err.println("vetchrill: " + e.getMessage());
-            return 2;
+            return EXIT_INVALID_CONFIGURATION;
         }
         Thread.setDefaultUncaughtExceptionHandler((failedThread, e) -> {
             // An instance that has lost a thread must not go on partly working while it still reports good health.
             System.err.println("vetchrill: thread " + failedThread.getName() + " failed");
             e.printStackTrace();
-            Runtime.getRuntime().halt(70);
+            Runtime.getRuntime().halt(EXIT_INTERNAL_ERROR);
         });
         CountDownLatch drained = new CountDownLatch(1);
         AtomicReference<StartConfiguration> current = new AtomicReference<>(configuration);
--- a/instance/src/main/java/vetchrill/routing/AdmissionStage.java
+++ b/instance/src/main/java/vetchrill/routing/AdmissionStage.java
@@ -246,7 +246,7 @@
         return index >= 0 && index < lastGauges.length ? lastGauges[index] : 0;
     }
 
-    /** Starts the drain, or moves its stop; the grace period runs from {@code drainNoticeAt} in any case. */
+    /** Starts the drain, or sets an earlier stop; the grace period runs from {@code drainNoticeAt} in any case. */
     void startDrain(long stopAt, long drainNoticeAt) {
         this.drainNoticeAt = drainNoticeAt;
         this.stopAt = stopAt;
--- a/instance/src/main/java/vetchrill/routing/Clock.java
+++ b/instance/src/main/java/vetchrill/routing/Clock.java
@@ -7,6 +7,8 @@
  * to convert the arrival times of exchanges, so that a step of it can't stop a timer or lose an answer that is due.
  */
 public final class Clock {
+    private static final int NANOS_PER_TENTH_MS = 100_000;
+    private static final int TENTHS_MS_PER_SECOND = 10_000;
     /** A smaller deviation of the system clock is not taken for a step. */
     private static final long MIN_STEP_TENTHS_MS = 200;
 
@@ -36,7 +38,7 @@
 
     /** Unix time in tenths of a millisecond; never steps. */
     public long now() {
-        return wallAtStart + (nanos() - nanosAtStart) / 100_000;
+        return wallAtStart + (nanos() - nanosAtStart) / NANOS_PER_TENTH_MS;
     }
 
     private long nanos() {
@@ -80,6 +82,6 @@
 
     private static long systemWallTime() {
         java.time.Instant instant = java.time.Instant.now();
-        return instant.getEpochSecond() * 10_000 + instant.getNano() / 100_000;
+        return instant.getEpochSecond() * TENTHS_MS_PER_SECOND + instant.getNano() / NANOS_PER_TENTH_MS;
     }
 }
--- a/instance/src/main/java/vetchrill/routing/DecisionThread.java
+++ b/instance/src/main/java/vetchrill/routing/DecisionThread.java
@@ -11,6 +11,9 @@
  * by posting a task to its queue.
  */
 public final class DecisionThread {
+    private static final int MAX_WAIT_TENTHS_MS = 10_000;
+    private static final int MICROS_PER_TENTH_MS = 100;
+
     /** {@code sequence} keeps timers that are due at the same time in the order in which they were set. */
     private record Timer(long dueAt, long sequence, Runnable action) {
     }
@@ -54,7 +57,9 @@
     public void run(Runnable decide) throws InterruptedException {
         while (true) {
             long wait = nextTimerDueAt() - clock.now();
-            runOnce(wait > 0 ? tasks.poll(Math.min(wait, 10_000) * 100, TimeUnit.MICROSECONDS) : tasks.poll(), decide);
+            runOnce(wait > 0
+                    ? tasks.poll(Math.min(wait, MAX_WAIT_TENTHS_MS) * MICROS_PER_TENTH_MS, TimeUnit.MICROSECONDS)
+                    : tasks.poll(), decide);
         }
     }
 
--- a/instance/src/main/java/vetchrill/routing/ExchangeRegistry.java
+++ b/instance/src/main/java/vetchrill/routing/ExchangeRegistry.java
@@ -302,7 +302,7 @@
                 freeSlots++;
             }
         }
-        // A descriptor becomes free only when the peer closes too, so a few more are evicted than needed right now.
+        // A descriptor is free only once lingering has ended, so a few more are evicted than are needed right now.
         while (freeSlots < 1 && lingering.size() < limits.maxConcurrentEvictions) {
             StubConnection evictee = longestIdleConnection(usedBefore, true);
             if (evictee == null) {
--- a/instance/src/main/java/vetchrill/routing/HealthReporter.java
+++ b/instance/src/main/java/vetchrill/routing/HealthReporter.java
@@ -11,6 +11,7 @@
 /** Holds the health that health checks get, and reports it to the membership service from a thread of its own. */
 final class HealthReporter {
     private static final System.Logger LOG = System.getLogger("vetchrill.membership");
+    private static final int HTTP_NO_CONTENT = 204;
 
     private final HealthReportSink membership;
     private final Limits limits;
@@ -39,7 +40,7 @@
         healthChanges.add(nowHealthy);
     }
 
-    /** Changes the address of the service and reports there at once, since the new one does not list this instance. */
+    /** Changes the address and reports there at once, since the service there knows nothing of earlier reports. */
     void setAddress(InetSocketAddress address) {
         membership.moveTo(address);
         if (healthKnown) {
@@ -89,7 +90,7 @@
         String failure = null;
         try {
             int status = membership.report(up);
-            if (status != 204) {
+            if (status != HTTP_NO_CONTENT) {
                 failure = "it answered " + status;
             }
         } catch (IOException e) {
--- a/instance/src/main/java/vetchrill/routing/OpenExchange.java
+++ b/instance/src/main/java/vetchrill/routing/OpenExchange.java
@@ -8,7 +8,7 @@
     final String groupName;
     final StubConnection stub;
     final int stream;
-    /** A copy: the frame itself is gone when the reader's buffer is reused. */
+    /** A copy, and the only part of its frame that outlives the reader's buffer. */
     final byte[] body;
     int groupIndex;
     /** The number by which its stub identifies itself. */
--- a/instance/src/test/java/vetchrill/routing/ClockTest.java
+++ b/instance/src/test/java/vetchrill/routing/ClockTest.java
@@ -14,14 +14,16 @@
             Clock clock = new Clock(() -> clocks[0], () -> clocks[1] * 100_000);
             clocks[0] += 300;
             clocks[1] += 300;
-            long before = clocks[0] / 10;
-            long at = clock.now();
+            long millisBeforeStep = clocks[0] / 10;
+            long expected = clock.now();
             clocks[0] += step + 200;
             clocks[1] += 200;
-            assertEquals(clock.fromWallMillis(before, 600_000), at, "timestamp before a step of " + step);
+            assertEquals(clock.fromWallMillis(millisBeforeStep, 600_000), expected,
+                    "timestamp before a step of " + step);
             long now = clock.now();
             assertEquals(clock.fromWallMillis(clocks[0] / 10, 600_000), now, "timestamp after the step");
-            assertEquals(clock.fromWallMillis(before, 600_000), at, "timestamp before the step, converted later");
+            assertEquals(clock.fromWallMillis(millisBeforeStep, 600_000), expected,
+                    "timestamp before the step, converted later");
         }
     }
 
--- a/lab/src/test/java/vetchrill/program/ConcurrentEventsTest.java
+++ b/lab/src/test/java/vetchrill/program/ConcurrentEventsTest.java
@@ -63,7 +63,7 @@
                 awaitNext(rig.interpreter.commands, "a link");
                 byte[] frame = StubClient.exchange(1, "look", id(0), "body");
                 List<StubClient> stubs = new ArrayList<>();
-                List<byte[]> rests = new ArrayList<>();
+                List<byte[]> remainders = new ArrayList<>();
                 for (int cut = 1; cut < frame.length; cut += cut < 12 ? 1 : 9) {
                     // The timestamp is written with the frame, so for one past the grace it is set ahead; a time in the
                     // future counts as now.
@@ -72,13 +72,13 @@
                     StubClient stub = rig.connectStub();
                     stub.send(Arrays.copyOf(one, cut));
                     stubs.add(stub);
-                    rests.add(Arrays.copyOfRange(one, cut, one.length));
+                    remainders.add(Arrays.copyOfRange(one, cut, one.length));
                 }
                 rig.terminate();
                 rig.membership.awaitPhase("OUT");
                 Thread.sleep(within ? 0 : 300);
                 for (int i = 0; i < stubs.size(); i++) {
-                    stubs.get(i).send(rests.get(i));
+                    stubs.get(i).send(remainders.get(i));
                     if (within) {
                         String run = awaitNext(rig.interpreter.commands, "a run");
                         rig.interpreter.value(run.substring(6, 22), "good", "done");
@@ -103,7 +103,7 @@
                 awaitNext(rig.interpreter.commands, "a link");
                 stub.sendExchange(1, "note", A, "");
                 awaitNext(rig.interpreter.commands, "a run");
-                long since = System.nanoTime();
+                long startNanos = System.nanoTime();
                 rig.terminate();
                 rig.awaitLog("drain: 1 exchanges open");
                 rig.replacements.put("\"stop_ms\":5000", "\"stop_ms\":3000");
@@ -117,7 +117,7 @@
                 assertEquals(stub.read(), new StubClient.Frame(4, 1, 69, "\0"));
                 assertNull(stub.read());
                 assertEquals(rig.awaitExit(), 0);
-                assertTrue(System.nanoTime() - since < 20_000_000_000L,
+                assertTrue(System.nanoTime() - startNanos < 20_000_000_000L,
                         "the process waited for the stop of the first configuration");
             }
         }
@@ -128,10 +128,10 @@
         try (InstanceRig rig = new InstanceRig()) {
             rig.membership.fake.slowly = 200;
             rig.startHealthy();
-            long since = System.nanoTime();
+            long startNanos = System.nanoTime();
             rig.terminate();
             rig.membership.awaitPhase("OUT");
-            assertTrue(System.nanoTime() - since < 2_000_000_000L, "the change waited for the report in progress");
+            assertTrue(System.nanoTime() - startNanos < 2_000_000_000L, "the change waited for the report in progress");
         }
     }
 
--- a/lab/src/test/java/vetchrill/program/InstanceRunnerTest.java
+++ b/lab/src/test/java/vetchrill/program/InstanceRunnerTest.java
@@ -213,10 +213,10 @@
             rig.membership.fake.status = 0;
             rig.startHealthy();
             Thread.sleep(100);
-            long since = System.nanoTime();
+            long startNanos = System.nanoTime();
             rig.terminate();
             rig.membership.awaitPhase("OUT");
-            assertTrue(System.nanoTime() - since < 1_000_000_000L, "the change waited for the report in progress");
+            assertTrue(System.nanoTime() - startNanos < 1_000_000_000L, "the change waited for the report in progress");
         }
     }
 
@@ -531,10 +531,10 @@
                 busy.sendExchange(1, "look", A, "");
                 awaitNext(rig.interpreter.commands, "a run");
                 unused.checkHealth();
-                long since = System.nanoTime();
+                long startNanos = System.nanoTime();
                 assertNull(silent.read());
                 assertNull(half.read());
-                assertTrue(System.nanoTime() - since < 2_900_000_000L, "must be closed within three seconds");
+                assertTrue(System.nanoTime() - startNanos < 2_900_000_000L, "must be closed within three seconds");
                 assertEquals(unused.read(), new StubClient.Frame(64, 0, 0, ""), "asked to close first");
                 assertNull(unused.read());
                 rig.interpreter.value(A, "good", "");
--- a/lab/src/test/java/vetchrill/routing/HealthReporterTest.java
+++ b/lab/src/test/java/vetchrill/routing/HealthReporterTest.java
@@ -39,8 +39,8 @@
         return report;
     }
 
-    private Boolean nextReport(long span) throws InterruptedException {
-        return reports.poll(span / 10, TimeUnit.MILLISECONDS);
+    private Boolean nextReport(long timeoutTenthsMs) throws InterruptedException {
+        return reports.poll(timeoutTenthsMs / 10, TimeUnit.MILLISECONDS);
     }
 
     /** Once the address is free another process may take it and the name; its UP must not be overruled by this one. */
