--- a/fuzz/src/main/java/vetchrill/fuzz/FaultsCommand.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/FaultsCommand.java
@@ -17,14 +17,14 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import vetchrill.files.Folders;
-import vetchrill.fuzz.Fuzzer.Way;
+import vetchrill.fuzz.Fuzzer.Strategy;
 
 /** Does fuzzing find anything? Faults are planted one by one, apart from the product, and looked for. */
 @Command(name = "faults", mixinStandardHelpOptions = true,
         description = "Plant each fault of a folder in a copy of the product and see whether it is found.")
 final class FaultsCommand implements Callable<Integer> {
     /** One fault: why it is one, the file it is in, what stands there, and what is put in its place. */
-    record Fault(String name, String why, Path file, String old, String planted) {
+    record Fault(String name, String description, Path file, String original, String replacement) {
         static Fault read(Path path) throws IOException {
             String text = Files.readString(path);
             String[] head = text.split("\n", 3);
@@ -32,7 +32,7 @@
             int middle = text.indexOf("\n====\n", from);
             int to = text.indexOf("\n>>>>", middle);
             if (from < 0 || middle < 0 || to < 0) {
-                throw new vetchrill.tool.BadUse(path
+                throw new vetchrill.tool.UsageException(path
                         + ": should be a line that says why, a file, and what is replaced by "
                         + "what between <<<<, ==== and >>>>");
             }
@@ -46,13 +46,13 @@
     private Path folder = Path.of("fuzz/faults");
 
     @Option(names = "--seconds", defaultValue = "10", description = "Of fuzzing for each fault (${DEFAULT-VALUE}).")
-    private double seconds;
+    private double shortSeconds;
 
     @Option(names = "--long", defaultValue = "0", description = "Of fuzzing for those that were not found by then.")
-    private double more;
+    private double longSeconds;
 
     @Option(names = "--random", description = "Random bytes alone as well, for as long.")
-    private boolean random;
+    private boolean alsoRandom;
 
     @Option(names = "--seed", defaultValue = "1", description = "Of all that is drawn (${DEFAULT-VALUE}).")
     private long seed;
@@ -61,7 +61,7 @@
     private String only;
 
     @Option(names = "--beside", description = "Looked for at once; all cores where not given.")
-    private int beside = Runtime.getRuntime().availableProcessors();
+    private int parallelism = Runtime.getRuntime().availableProcessors();
 
     /** What came out, for whoever asks after the call. */
     int planted;
@@ -80,59 +80,63 @@
             }
         }
         planted = faults.size();
-        Path work = Files.createTempDirectory("vetchrill-faults");
-        ExecutorService threads = Executors.newFixedThreadPool(beside);
+        Path workFolder = Files.createTempDirectory("vetchrill-faults");
+        ExecutorService threads = Executors.newFixedThreadPool(parallelism);
         try {
             for (Fault fault : faults) {
-                build(fault, work.resolve(fault.name));
+                compile(fault, workFolder.resolve(fault.name));
             }
-            List<Boolean> quick = each(threads, faults, fault -> look(fault, work, Way.GUIDED, seconds));
+            List<Boolean> foundShort = runAll(threads, faults,
+                    fault -> isFound(fault, workFolder, Strategy.GUIDED, shortSeconds));
             List<Fault> missed = new ArrayList<>();
             for (int i = 0; i < faults.size(); i++) {
-                found += quick.get(i) ? 1 : 0;
-                if (!quick.get(i)) {
+                found += foundShort.get(i) ? 1 : 0;
+                if (!foundShort.get(i)) {
                     missed.add(faults.get(i));
                 }
             }
             foundLong = found;
-            if (more > 0) {
-                List<Boolean> later = each(threads, missed, fault -> look(fault, work, Way.GUIDED, more));
-                List<Fault> left = new ArrayList<>();
+            if (longSeconds > 0) {
+                List<Boolean> foundInLong = runAll(threads, missed,
+                        fault -> isFound(fault, workFolder, Strategy.GUIDED, longSeconds));
+                List<Fault> stillMissed = new ArrayList<>();
                 for (int i = 0; i < missed.size(); i++) {
-                    foundLong += later.get(i) ? 1 : 0;
-                    if (!later.get(i)) {
-                        left.add(missed.get(i));
+                    foundLong += foundInLong.get(i) ? 1 : 0;
+                    if (!foundInLong.get(i)) {
+                        stillMissed.add(missed.get(i));
                     }
                 }
-                missed = left;
+                missed = stillMissed;
             }
-            if (random) {
-                for (boolean each : each(threads, faults, fault -> look(fault, work, Way.RANDOM, seconds))) {
+            if (alsoRandom) {
+                for (boolean each : runAll(threads, faults,
+                        fault -> isFound(fault, workFolder, Strategy.RANDOM, shortSeconds))) {
                     foundRandom += each ? 1 : 0;
                 }
             }
             for (Fault fault : missed) {
-                System.out.printf("not found: %-20s %s%n", fault.name, fault.why);
+                System.out.printf("not found: %-20s %s%n", fault.name, fault.description);
             }
             System.out.printf(Locale.ROOT,
                     "faults: planted=%d found=%d of them in %.0f s, %d in %.0f s more, random %s%n",
-                    planted, foundLong, seconds, foundLong - found, more, random ? foundRandom : "not tried");
+                    planted, foundLong, shortSeconds, foundLong - found, longSeconds,
+                    alsoRandom ? foundRandom : "not tried");
             return 0;
         } finally {
             threads.shutdownNow();
-            Folders.remove(work);
+            Folders.deleteRecursively(workFolder);
         }
     }
 
-    private interface Look {
-        boolean at(Fault fault) throws IOException, InterruptedException;
+    private interface FaultTrial {
+        boolean run(Fault fault) throws IOException, InterruptedException;
     }
 
-    private static List<Boolean> each(ExecutorService threads, List<Fault> faults, Look look)
+    private static List<Boolean> runAll(ExecutorService threads, List<Fault> faults, FaultTrial trial)
             throws IOException, InterruptedException {
         List<Future<Boolean>> futures = new ArrayList<>();
         for (Fault fault : faults) {
-            futures.add(threads.submit(() -> look.at(fault)));
+            futures.add(threads.submit(() -> trial.run(fault)));
         }
         List<Boolean> results = new ArrayList<>();
         for (Future<Boolean> future : futures) {
@@ -146,45 +150,49 @@
     }
 
     /** Compiles the one file with the fault in it against the product as it is. */
-    private static void build(Fault fault, Path to) throws IOException {
+    private static void compile(Fault fault, Path outputFolder) throws IOException {
         String source = Files.readString(fault.file);
-        int at = source.indexOf(fault.old);
-        if (at < 0 || source.indexOf(fault.old, at + 1) >= 0) {
-            throw new vetchrill.tool.BadUse("fault " + fault.name + ": what it replaces should stand once in "
+        int offset = source.indexOf(fault.original);
+        if (offset < 0 || source.indexOf(fault.original, offset + 1) >= 0) {
+            throw new vetchrill.tool.UsageException("fault " + fault.name + ": what it replaces should stand once in "
                     + fault.file);
         }
-        Path file = to.resolve("source").resolve(fault.file.getFileName());
-        Files.createDirectories(file.getParent());
-        Files.createDirectories(to.resolve("classes"));
-        Files.writeString(file, source.substring(0, at) + fault.planted + source.substring(at + fault.old.length()));
+        Path faultySource = outputFolder.resolve("source").resolve(fault.file.getFileName());
+        Files.createDirectories(faultySource.getParent());
+        Files.createDirectories(outputFolder.resolve("classes"));
+        Files.writeString(faultySource,
+                source.substring(0, offset) + fault.replacement + source.substring(offset + fault.original.length()));
         JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
         if (compiler.run(null, null, null, "--release", "17", "-nowarn", "-cp", System.getProperty("java.class.path"),
                 "-d",
-                to.resolve("classes").toString(), file.toString()) != 0) {
-            throw new vetchrill.tool.BadUse("fault " + fault.name + ": does not compile");
+                outputFolder.resolve("classes").toString(), faultySource.toString()) != 0) {
+            throw new vetchrill.tool.UsageException("fault " + fault.name + ": does not compile");
         }
     }
 
-    private boolean look(Fault fault, Path work, Way way, double span) throws IOException, InterruptedException {
-        Path out = work.resolve(fault.name).resolve("out");
+    private boolean isFound(Fault fault, Path workFolder, Strategy strategy, double seconds) throws IOException,
+            InterruptedException {
+        Path out = workFolder.resolve(fault.name).resolve("out");
         List<String> command = new ArrayList<>(List.of(System.getProperty("java.home") + "/bin/java",
                 "-XX:+UseSerialGC", "-Xmx400m", "--add-opens=java.base/java.nio=ALL-UNNAMED", "-cp",
                 System.getProperty("java.class.path"), "vetchrill.tool.Vetchrill", "fuzz"));
         // What simulates the same package for good is told by the name or the place; a parser's may show anywhere.
-        String place = fault.file.toString();
-        String named = place.contains("/routing/") || place.contains("/transport/") ? "chain"
-                : place.contains("/control/") ? "module"
+        String path = fault.file.toString();
+        String targetName = path.contains("/routing/") || path.contains("/transport/") ? "chain"
+                : path.contains("/control/") ? "module"
                 : fault.name.substring(0, Math.max(0, fault.name.indexOf('-')));
-        if (Targets.all(FaultsCommand.class.getClassLoader()).stream().anyMatch(each -> each.name().equals(named))) {
-            command.add(named);
+        if (TargetLoader.all(FaultsCommand.class.getClassLoader()).stream()
+                .anyMatch(each -> each.name().equals(targetName))) {
+            command.add(targetName);
         }
-        command.addAll(List.of("--first", "--product", work.resolve(fault.name).resolve("classes")
-                .toString(), "--seconds", Double.toString(span), "--seed", Long.toString(seed), "--way", way.name(),
-                "--found", work.resolve(fault.name).resolve("found").toString()));
+        command.addAll(List.of("--first", "--product", workFolder.resolve(fault.name).resolve("classes")
+                .toString(), "--seconds", Double.toString(seconds), "--seed", Long.toString(seed), "--way",
+                strategy.name(),
+                "--found", workFolder.resolve(fault.name).resolve("found").toString()));
         Process process = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(out.toFile()).start();
         // A fault may make the product go round in circles, which no oracle inside of it can see: that is found as
         // well.
-        if (!process.waitFor((long) (span * 2 + 30), TimeUnit.SECONDS)) {
+        if (!process.waitFor((long) (seconds * 2 + 30), TimeUnit.SECONDS)) {
             process.destroyForcibly();
             return true;
         }
--- a/fuzz/src/main/java/vetchrill/fuzz/FuzzCommand.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/FuzzCommand.java
@@ -25,7 +25,7 @@
     static final Path CORPUS = Path.of("fuzz/corpus");
 
     @Parameters(index = "0", arity = "0..1", paramLabel = "TARGET", description = "One target; all where not given.")
-    private String only;
+    private String targetName;
 
     @Option(names = "--seconds", defaultValue = "60", description = "Time in all (${DEFAULT-VALUE}).")
     private double seconds;
@@ -37,103 +37,107 @@
     private long seed;
 
     @Option(names = "--way", defaultValue = "GUIDED", description = "${COMPLETION-CANDIDATES} (${DEFAULT-VALUE}).")
-    private Fuzzer.Way way;
+    private Fuzzer.Strategy strategy;
 
     @Option(names = "--corpus", description = "Inputs to start from, a folder for each target (fuzz/corpus).")
-    private Path corpus = CORPUS;
+    private Path corpusFolder = CORPUS;
 
     @Option(names = "--found", description = "Where findings are left (fuzz/found).")
-    private Path found = Path.of("fuzz/found");
+    private Path findingsFolder = Path.of("fuzz/found");
 
     @Option(names = "--product", paramLabel = "FOLDER", hidden = true,
             description = "Classes that go before those of the product.")
-    private Path product;
+    private Path productFolder;
 
     @Option(names = "--first", hidden = true, description = "Ends at the first finding, whatever its input.")
-    private boolean first;
+    private boolean stopAtFirst;
 
     /** What came out, for whoever asks after the call. */
-    long all;
-    double took;
-    int findings;
+    long totalExecutions;
+    double elapsedSeconds;
+    int findingCount;
 
     @Option(names = "--keep", description = "Inputs that come to new places are added to the corpus, distilled.")
-    private boolean keep;
+    private boolean extendCorpus;
 
     @Override
     public Integer call() throws IOException {
         System.setProperty("vetchrill.log.level", "OFF");
-        List<Target> targets = targets(new ProductLoader(product, way != Fuzzer.Way.BLIND || keep), only);
-        long began = System.nanoTime();
+        List<Target> targets = selectTargets(new ProductLoader(productFolder,
+                strategy != Fuzzer.Strategy.BLIND || extendCorpus), targetName);
+        long startNs = System.nanoTime();
         for (int i = 0; i < targets.size(); i++) {
             Target target = targets.get(i);
             // The chain and the module are most of what there is to find: half of the time is theirs.
-            long now = System.nanoTime();
-            double left = seconds - (now - began) / 1e9;
-            long until = executions != null ? Long.MAX_VALUE
-                    : now + (long) (Math.max(0.2, left * share(targets, i)) * 1e9);
-            Fuzzer fuzzer = new Fuzzer(target, seed, way, first);
-            Fuzzer.Result result = fuzzer.run(executions == null ? Long.MAX_VALUE : executions, until, start(target));
-            all += result.executions();
+            long targetStartNs = System.nanoTime();
+            double secondsLeft = seconds - (targetStartNs - startNs) / 1e9;
+            long deadlineNs = executions != null ? Long.MAX_VALUE
+                    : targetStartNs + (long) (Math.max(0.2, secondsLeft * timeShare(targets, i)) * 1e9);
+            Fuzzer fuzzer = new Fuzzer(target, seed, strategy, stopAtFirst);
+            Fuzzer.Result result = fuzzer.run(executions == null ? Long.MAX_VALUE : executions, deadlineNs,
+                    initialInputs(target));
+            totalExecutions += result.executions();
             System.out.printf(Locale.ROOT, "%-12s %9d inputs, %8.0f a second, %4d kept, %5d of %5d places%s%n",
-                    target.name(), result.executions(), result.executions() / ((System.nanoTime() - now) / 1e9),
-                            result.kept(), result.reached(),
-                    result.all(), result.found().isEmpty() ? "" : ", FOUND " + result.found().size());
-            for (Fuzzer.Found each : result.found()) {
-                findings++;
-                tell(each);
+                    target.name(), result.executions(),
+                    result.executions() / ((System.nanoTime() - targetStartNs) / 1e9),
+                            result.corpusSize(), result.coveredProbes(),
+                    result.totalProbes(), result.findings().isEmpty() ? "" : ", FOUND " + result.findings().size());
+            for (Fuzzer.Finding each : result.findings()) {
+                findingCount++;
+                reportFinding(each);
             }
-            if (first && findings > 0) {
+            if (stopAtFirst && findingCount > 0) {
                 return 1;
             }
-            if (keep && result.found().isEmpty()) {
-                store(target, fuzzer);
+            if (extendCorpus && result.findings().isEmpty()) {
+                storeCorpus(target, fuzzer);
             }
         }
-        took = (System.nanoTime() - began) / 1e9;
-        System.out.printf(Locale.ROOT, "fuzz: targets=%d execs=%d seconds=%.1f findings=%d%n", targets.size(), all,
-                took, findings);
-        return findings == 0 ? 0 : 1;
+        elapsedSeconds = (System.nanoTime() - startNs) / 1e9;
+        System.out.printf(Locale.ROOT, "fuzz: targets=%d execs=%d seconds=%.1f findings=%d%n", targets.size(),
+                totalExecutions,
+                elapsedSeconds, findingCount);
+        return findingCount == 0 ? 0 : 1;
     }
 
-    private static double share(List<Target> targets, int at) {
+    private static double timeShare(List<Target> targets, int index) {
         double weights = 0;
-        for (int i = at; i < targets.size(); i++) {
+        for (int i = index; i < targets.size(); i++) {
             weights += weight(targets.get(i));
         }
-        return weight(targets.get(at)) / weights;
+        return weight(targets.get(index)) / weights;
     }
 
     private static double weight(Target target) {
         return target.name().equals("chain") ? 6 : target.name().equals("module") ? 4 : 1;
     }
 
-    private void tell(Fuzzer.Found each) throws IOException {
-        Files.createDirectories(found);
-        Path file = found.resolve(each.target() + "-" + name(each.input()) + ".bin");
-        Files.write(file, each.input());
-        System.out.println("  " + each.what());
+    private void reportFinding(Fuzzer.Finding finding) throws IOException {
+        Files.createDirectories(findingsFolder);
+        Path file = findingsFolder.resolve(finding.target() + "-" + fileName(finding.input()) + ".bin");
+        Files.write(file, finding.input());
+        System.out.println("  " + finding.problem());
         System.out.println("  bin/vetchrill fuzz replay " + file);
     }
 
-    private static String name(byte[] input) {
-        java.util.zip.CRC32C sum = new java.util.zip.CRC32C();
-        sum.update(input);
-        return HexFormat.of().toHexDigits((int) sum.getValue());
+    private static String fileName(byte[] input) {
+        java.util.zip.CRC32C checksum = new java.util.zip.CRC32C();
+        checksum.update(input);
+        return HexFormat.of().toHexDigits((int) checksum.getValue());
     }
 
     /** Those of the corpus, and those that each target has of its own. */
-    private List<byte[]> start(Target target) throws IOException {
-        List<byte[]> start = new ArrayList<>(target.seeds());
-        start.addAll(corpus(corpus, target.name()).values());
-        return start;
+    private List<byte[]> initialInputs(Target target) throws IOException {
+        List<byte[]> inputs = new ArrayList<>(target.seeds());
+        inputs.addAll(readCorpus(corpusFolder, target.name()).values());
+        return inputs;
     }
 
-    static TreeMap<Path, byte[]> corpus(Path folder, String target) throws IOException {
+    static TreeMap<Path, byte[]> readCorpus(Path folder, String target) throws IOException {
         TreeMap<Path, byte[]> inputs = new TreeMap<>();
-        Path its = folder.resolve(target);
-        if (Files.isDirectory(its)) {
-            try (var files = Files.list(its)) {
+        Path targetFolder = folder.resolve(target);
+        if (Files.isDirectory(targetFolder)) {
+            try (var files = Files.list(targetFolder)) {
                 for (Path file : files.toList()) {
                     inputs.put(file, Files.readAllBytes(file));
                 }
@@ -142,34 +146,34 @@
         return inputs;
     }
 
-    private void store(Target target, Fuzzer fuzzer) throws IOException {
-        Path folder = corpus.resolve(target.name());
+    private void storeCorpus(Target target, Fuzzer fuzzer) throws IOException {
+        Path folder = corpusFolder.resolve(target.name());
         Files.createDirectories(folder);
-        for (byte[] input : Fuzzer.distilled(target, fuzzer.corpus())) {
-            Files.write(folder.resolve(name(input) + ".bin"), input);
+        for (byte[] input : Fuzzer.distill(target, fuzzer.corpus())) {
+            Files.write(folder.resolve(fileName(input) + ".bin"), input);
         }
     }
 
-    static List<Target> targets(ClassLoader loader, String only) {
-        List<Target> all = Targets.all(loader);
-        if (only == null) {
+    static List<Target> selectTargets(ClassLoader loader, String name) {
+        List<Target> all = TargetLoader.all(loader);
+        if (name == null) {
             return all;
         }
-        List<Target> those = all.stream().filter(each -> each.name().equals(only)).toList();
-        if (those.isEmpty()) {
-            throw new vetchrill.tool.BadUse("no target " + only + ", there are " + String.join(", ",
+        List<Target> selected = all.stream().filter(each -> each.name().equals(name)).toList();
+        if (selected.isEmpty()) {
+            throw new vetchrill.tool.UsageException("no target " + name + ", there are " + String.join(", ",
                     all.stream().map(Target::name).toList()));
         }
-        return those;
+        return selected;
     }
 
     /** The target that a file of a finding or of the corpus is for: by its folder, or by its name. */
-    static Target of(Path file) {
-        List<Target> all = targets(new ProductLoader(null, false), null);
+    static Target targetOf(Path file) {
+        List<Target> all = selectTargets(new ProductLoader(null, false), null);
         String folder = file.toAbsolutePath().getParent().getFileName().toString();
         String name = file.getFileName().toString();
         return all.stream().filter(each -> each.name().equals(folder) || name.startsWith(each.name() + "-")).findFirst()
-                .orElseThrow(() -> new vetchrill.tool.BadUse(file
+                .orElseThrow(() -> new vetchrill.tool.UsageException(file
                         + ": neither its folder nor its name says its target"));
     }
 
@@ -177,7 +181,7 @@
     static final class ListCommand implements Callable<Integer> {
         @Override
         public Integer call() {
-            for (Target target : targets(new ProductLoader(null, false), null)) {
+            for (Target target : selectTargets(new ProductLoader(null, false), null)) {
                 System.out.printf("%-12s %s%n", target.name(), String.join(", ",
                         target.covers().stream().map(Class::getName).toList()));
             }
@@ -193,11 +197,11 @@
         @Override
         public Integer call() throws IOException {
             byte[] input = Files.readAllBytes(file);
-            Target target = of(file);
+            Target target = targetOf(file);
             try {
                 target.run(input);
             } catch (RuntimeException | Error e) {
-                System.out.println(target.name() + ": " + Fuzzer.wrong(target, input));
+                System.out.println(target.name() + ": " + Fuzzer.problemOf(target, input));
                 e.printStackTrace(System.out);
                 return 1;
             }
@@ -216,15 +220,15 @@
         public Integer call() throws IOException {
             System.setProperty("vetchrill.log.level", "OFF");
             byte[] input = Files.readAllBytes(file);
-            Target target = of(file);
-            String what = Fuzzer.wrong(target, input);
-            if (what == null) {
+            Target target = targetOf(file);
+            String problem = Fuzzer.problemOf(target, input);
+            if (problem == null) {
                 System.out.println(target.name() + ": nothing is wrong with it");
                 return 0;
             }
-            byte[] shortest = Fuzzer.minimise(target, input, what);
+            byte[] shortest = Fuzzer.minimise(target, input, problem);
             Files.write(file, shortest);
-            System.out.println(what + ": " + input.length + " bytes to " + shortest.length);
+            System.out.println(problem + ": " + input.length + " bytes to " + shortest.length);
             return 1;
         }
     }
--- a/fuzz/src/main/java/vetchrill/fuzz/Finding.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/InvariantViolation.java
@@ -1,14 +1,14 @@
 package vetchrill.fuzz;
 
 /** Something that must not happen and did. */
-public final class Finding extends RuntimeException {
+public final class InvariantViolation extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    public Finding(String message) {
+    public InvariantViolation(String message) {
         super(message);
     }
 
-    public Finding(String message, Throwable cause) {
+    public InvariantViolation(String message, Throwable cause) {
         super(message, cause);
     }
 }
--- a/fuzz/src/main/java/vetchrill/fuzz/MeasureAuditCommand.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/MeasureAuditCommand.java
@@ -13,9 +13,9 @@
 import picocli.CommandLine.Option;
 import vetchrill.files.Folders;
 import vetchrill.fuzz.targets.VersionsTarget;
-import vetchrill.peersim.VersionsWalk;
-import vetchrill.peersim.VersionsWorld;
-import vetchrill.standin.AuditPlay;
+import vetchrill.peersim.VersionsPathExplorer;
+import vetchrill.peersim.VersionsSimulation;
+import vetchrill.standin.AuditScenario;
 import vetchrill.tool.ToolCommand;
 
 /** All that is claimed of versions, floors and the record, from nothing to one line. */
@@ -28,133 +28,140 @@
 
     @Option(names = "--keepers", defaultValue = "5",
             description = "Those of them that keep the floor (${DEFAULT-VALUE}).")
-    private int keepers;
+    private int voters;
 
     @Option(names = "--plays", defaultValue = "6", description = "(${DEFAULT-VALUE})")
-    private int plays;
+    private int scenarios;
 
     @Option(names = "--troubles", defaultValue = "10", description = "In each play (${DEFAULT-VALUE}).")
-    private int troubles;
+    private int faultsPerScenario;
 
     @Option(names = "--first-seed", defaultValue = "1", description = "The others follow (${DEFAULT-VALUE}).")
-    private long first;
+    private long firstSeed;
 
     @Option(names = "--schedules", defaultValue = "20000", description = "Drawn for the simulation (${DEFAULT-VALUE}).")
-    private int schedules;
+    private int randomSchedules;
 
     @Option(names = "--beside", negatable = true, defaultValue = "true", fallbackValue = "true",
             description = "A change by a version beside one by a file on each machine and SIGHUP (${DEFAULT-VALUE}).")
-    private boolean beside;
+    private boolean compareWithFile;
 
     @Option(names = "--depth", defaultValue = "4", description = "Of the walk through all orders (${DEFAULT-VALUE}).")
-    private int depth;
+    private int walkDepth;
 
     @Option(names = "--planted", defaultValue = "60", description = "Seconds for each planted fault, 0 for none "
             + "(${DEFAULT-VALUE}).")
-    private double planted;
+    private double secondsPerFault;
 
-    private final ConcurrentLinkedQueue<String> wrong = new ConcurrentLinkedQueue<>();
+    private final ConcurrentLinkedQueue<String> failures = new ConcurrentLinkedQueue<>();
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        if (processes < 3 || keepers < 1 || keepers % 2 == 0 || keepers > processes || depth < 1 || depth > 6) {
-            throw new vetchrill.tool.BadUse("--processes should be 3 or more, --keepers an odd number of them, --depth "
+        if (processes < 3 || voters < 1 || voters % 2 == 0 || voters > processes || walkDepth < 1 || walkDepth > 6) {
+            throw new vetchrill.tool.UsageException(
+                    "--processes should be 3 or more, --keepers an odd number of them, --depth "
                     + "1 to 6");
         }
         long faults = 0;
         long exchanges = 0;
         long unaccounted = 0;
         long misattributed = 0;
-        long below = 0;
+        long belowMinVersion = 0;
         long forks = 0;
-        long fence = Long.MIN_VALUE;
-        long tail = 0;
-        List<Long> publish = new ArrayList<>();
-        for (int i = 0; i < plays; i++) {
-            Path folder = AuditPlay.folder();
-            AuditPlay.Outcome one;
+        long maxFenceOverLeaseMs = Long.MIN_VALUE;
+        long maxTailMs = 0;
+        List<Long> publishTimesMs = new ArrayList<>();
+        for (int i = 0; i < scenarios; i++) {
+            Path folder = AuditScenario.createFolder();
+            AuditScenario.Outcome outcome;
             try {
-                one = AuditPlay.play(processes, keepers, troubles, first + i, folder);
+                outcome = AuditScenario.run(processes, voters, faultsPerScenario, firstSeed + i, folder);
             } catch (IllegalStateException e) {
-                wrong.add("seed " + (first + i) + ": " + e.getMessage());
-                System.out.println("seed " + (first + i) + ": " + e.getMessage() + "; see " + folder);
+                failures.add("seed " + (firstSeed + i) + ": " + e.getMessage());
+                System.out.println("seed " + (firstSeed + i) + ": " + e.getMessage() + "; see " + folder);
                 continue;
             }
-            faults += one.faults;
-            exchanges += one.exchanges;
-            unaccounted += one.unaccounted;
-            misattributed += one.misattributed;
-            below += one.belowFloor;
-            forks += one.forks;
-            fence = Math.max(fence, one.fenceOverLeaseMs);
-            tail = Math.max(tail, one.tailMs);
-            publish.addAll(one.publishMs);
-            one.wrong.forEach(each -> wrong.add("seed: " + each));
+            faults += outcome.faults;
+            exchanges += outcome.exchanges;
+            unaccounted += outcome.unaccounted;
+            misattributed += outcome.misattributed;
+            belowMinVersion += outcome.belowMinVersion;
+            forks += outcome.inconsistencies;
+            maxFenceOverLeaseMs = Math.max(maxFenceOverLeaseMs, outcome.fencingBeyondLeaseMs);
+            maxTailMs = Math.max(maxTailMs, outcome.longestLostTailMs);
+            publishTimesMs.addAll(outcome.publishTimesMs);
+            outcome.violations.forEach(each -> failures.add("seed: " + each));
             System.out.printf(Locale.ROOT, "seed %d: faults=%d exchanges=%d unaccounted=%d misattributed=%d "
                     + "below_floor=%d fence_over_lease_ms=%d floors=%d disks_lost=%d forks=%d left_out=%d tail_ms=%d "
-                    + "publish_ms=%s%n", first + i, one.faults, one.exchanges, one.unaccounted, one.misattributed,
-                    one.belowFloor, one.fenceOverLeaseMs, one.floors, one.disksLost, one.forks, one.leftOut,
-                    one.tailMs, one.publishMs);
-            if (one.wrong.isEmpty()) {
-                Folders.remove(folder);
+                    + "publish_ms=%s%n", firstSeed + i, outcome.faults, outcome.exchanges, outcome.unaccounted,
+                    outcome.misattributed,
+                    outcome.belowMinVersion, outcome.fencingBeyondLeaseMs, outcome.minVersionsConfirmed,
+                    outcome.disksLost, outcome.inconsistencies, outcome.omittedEvents,
+                    outcome.longestLostTailMs, outcome.publishTimesMs);
+            if (outcome.violations.isEmpty()) {
+                Folders.deleteRecursively(folder);
             }
         }
-        if (beside) {
-            besideFile();
+        if (compareWithFile) {
+            runFileComparison();
         }
-        drawn();
-        VersionsWalk walk = new VersionsWalk();
-        walked(walk);
-        FaultsCommand sown = null;
-        if (planted > 0) {
-            sown = new FaultsCommand();
-            new picocli.CommandLine(sown).execute("--only", "versions", "--seconds", Double.toString(planted));
+        runRandomSchedules();
+        VersionsPathExplorer walk = new VersionsPathExplorer();
+        runWalk(walk);
+        FaultsCommand plantedFaults = null;
+        if (secondsPerFault > 0) {
+            plantedFaults = new FaultsCommand();
+            new picocli.CommandLine(plantedFaults).execute("--only", "versions", "--seconds",
+                    Double.toString(secondsPerFault));
         }
-        wrong.stream().distinct().limit(20).forEach(System.out::println);
-        publish.sort(null);
+        failures.stream().distinct().limit(20).forEach(System.out::println);
+        publishTimesMs.sort(null);
         System.out.printf(Locale.ROOT, "measure audit: processes=%d faults=%d exchanges=%d unaccounted=%d "
                 + "misattributed=%d forks_found=%d below_floor=%d publish_p99_ms=%s fence_over_lease_ms=%d "
                 + "schedules=%d states=%d planted=%d found=%d%n", processes, faults, exchanges, unaccounted,
-                misattributed, forks, below, publish.isEmpty() ? "none"
-                : publish.get((int) Math.min(publish.size() - 1, 0.99 * publish.size())), fence, schedules,
-                walk.states(), sown == null ? 0 : sown.planted, sown == null ? 0 : sown.found);
-        return wrong.isEmpty() ? 0 : 1;
+                misattributed, forks, belowMinVersion, publishTimesMs.isEmpty() ? "none"
+                : publishTimesMs.get((int) Math.min(publishTimesMs.size() - 1, 0.99 * publishTimesMs.size())),
+                maxFenceOverLeaseMs, randomSchedules,
+                walk.stateCount(), plantedFaults == null ? 0 : plantedFaults.planted,
+                plantedFaults == null ? 0 : plantedFaults.found);
+        return failures.isEmpty() ? 0 : 1;
     }
 
-    private void besideFile() throws IOException, InterruptedException {
-        Path folder = AuditPlay.folder();
+    private void runFileComparison() throws IOException, InterruptedException {
+        Path folder = AuditScenario.createFolder();
         System.out.printf("%-18s %14s %14s %7s | %14s %7s%n", "one of them is", "by version ms", "healed, ms", "missed",
                 "file, HUP ms", "missed");
-        for (AuditPlay.Beside each : AuditPlay.besideFile(processes, keepers, folder)) {
-            System.out.printf("%-18s %14d %14d %7d | %14d %7d%n", each.trouble(), each.versionMs(),
+        for (AuditScenario.RolloutTimes each : AuditScenario.compareRollouts(processes, voters, folder)) {
+            System.out.printf("%-18s %14d %14d %7d | %14d %7d%n", each.fault(), each.versionMs(),
                     each.versionHealedMs(), each.versionMissed(), each.fileMs(), each.fileMissed());
         }
-        Folders.remove(folder);
+        Folders.deleteRecursively(folder);
     }
 
-    private void drawn() {
-        VersionsTarget.SCRIPTS.drawn(first, schedules).parallelStream().forEach(script -> {
+    private void runRandomSchedules() {
+        VersionsTarget.SCRIPT_FORMAT.randomScripts(firstSeed, randomSchedules).parallelStream().forEach(script -> {
             try {
                 new VersionsTarget().run(script);
             } catch (RuntimeException e) {
-                wrong.add("schedule " + java.util.HexFormat.of().formatHex(script) + ": " + e.getMessage());
+                failures.add("schedule " + java.util.HexFormat.of().formatHex(script) + ": " + e.getMessage());
             }
         });
-        System.out.printf("schedules: %d drawn%n", schedules);
+        System.out.printf("schedules: %d drawn%n", randomSchedules);
     }
 
-    private void walked(VersionsWalk walk) {
-        long paths = VersionsWalk.paths(depth);
+    private void runWalk(VersionsPathExplorer walk) {
+        long paths = VersionsPathExplorer.pathCount(walkDepth);
         AtomicLong next = new AtomicLong();
         IntStream.range(0, Runtime.getRuntime().availableProcessors()).parallel().forEach(thread -> {
-            for (long path = next.getAndIncrement(); path < paths && wrong.size() < 20; path = next.getAndIncrement()) {
+            for (long path = next.getAndIncrement(); path < paths
+                    && failures.size() < 20; path = next.getAndIncrement()) {
                 try {
-                    walk.walk(depth, path);
-                } catch (VersionsWorld.Broken e) {
-                    wrong.add(e.getMessage());
+                    walk.runPath(walkDepth, path);
+                } catch (VersionsSimulation.InvariantViolation e) {
+                    failures.add(e.getMessage());
                 }
             }
         });
-        System.out.printf("walk: depth=%d paths=%d states=%d%n", depth, paths, walk.states());
+        System.out.printf("walk: depth=%d paths=%d states=%d%n", walkDepth, paths, walk.stateCount());
     }
 }
--- a/fuzz/src/main/java/vetchrill/fuzz/MeasureFuzzCommand.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/MeasureFuzzCommand.java
@@ -15,10 +15,10 @@
     private double seconds;
 
     @Option(names = "--short", defaultValue = "10", description = "Of fuzzing each fault (${DEFAULT-VALUE}).")
-    private double quick;
+    private double shortSeconds;
 
     @Option(names = "--long", defaultValue = "600", description = "Of fuzzing each fault not found (${DEFAULT-VALUE}).")
-    private double more;
+    private double longSeconds;
 
     @Option(names = "--depth", defaultValue = "5", description = "Of the walk (${DEFAULT-VALUE}).")
     private int depth;
@@ -28,21 +28,25 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        FaultsCommand faults = new FaultsCommand();
-        new picocli.CommandLine(faults).parseArgs("--seconds", Double.toString(quick), "--long", Double.toString(more),
+        FaultsCommand faultsCommand = new FaultsCommand();
+        new picocli.CommandLine(faultsCommand).parseArgs("--seconds", Double.toString(shortSeconds), "--long",
+                Double.toString(longSeconds),
                 "--seed", Long.toString(seed), "--random");
-        faults.call();
-        FuzzCommand fuzz = new FuzzCommand();
-        new picocli.CommandLine(fuzz).parseArgs("--seconds", Double.toString(seconds), "--seed", Long.toString(seed));
-        LifeCommand life = new LifeCommand();
-        new picocli.CommandLine(life).parseArgs("--depth", Integer.toString(depth));
-        int code = Math.max(fuzz.call(), life.call());
-        List<Target> targets = Targets.all(new ProductLoader(null, false));
+        faultsCommand.call();
+        FuzzCommand fuzzCommand = new FuzzCommand();
+        new picocli.CommandLine(fuzzCommand).parseArgs("--seconds", Double.toString(seconds), "--seed",
+                Long.toString(seed));
+        LifeCommand lifeCommand = new LifeCommand();
+        new picocli.CommandLine(lifeCommand).parseArgs("--depth", Integer.toString(depth));
+        int exitCode = Math.max(fuzzCommand.call(), lifeCommand.call());
+        List<Target> targets = TargetLoader.all(new ProductLoader(null, false));
         System.out.printf(Locale.ROOT, "measure fuzz: targets=%d execs=%d execs_per_s=%.0f planted=%d found_short=%d "
                 + "found_long=%d random_found=%d findings_open=%d "
-                + "states=%d depth=%d%n", targets.size(), fuzz.all, fuzz.all / fuzz.took,
-                faults.planted, faults.found, faults.foundLong, faults.foundRandom, fuzz.findings,
-                life.states, life.depth);
-        return code;
+                + "states=%d depth=%d%n", targets.size(), fuzzCommand.totalExecutions,
+                fuzzCommand.totalExecutions / fuzzCommand.elapsedSeconds,
+                faultsCommand.planted, faultsCommand.found, faultsCommand.foundLong, faultsCommand.foundRandom,
+                fuzzCommand.findingCount,
+                lifeCommand.stateCount, lifeCommand.depth);
+        return exitCode;
     }
 }
--- a/fuzz/src/main/java/vetchrill/fuzz/MeasureRecoveryCommand.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/MeasureRecoveryCommand.java
@@ -13,8 +13,8 @@
 import vetchrill.files.Folders;
 import vetchrill.fuzz.targets.RecoveryTarget;
 import vetchrill.fuzz.targets.VersionsTarget;
-import vetchrill.standin.AuditPlay;
-import vetchrill.standin.PowerPlay;
+import vetchrill.standin.AuditScenario;
+import vetchrill.standin.PowerLossScenario;
 import vetchrill.tool.ToolCommand;
 
 /** What is claimed of stores and losses of power, from nothing to one line. */
@@ -26,76 +26,81 @@
     private int processes;
 
     @Option(names = "--plays", defaultValue = "4", description = "(${DEFAULT-VALUE})")
-    private int plays;
+    private int scenarios;
 
     @Option(names = "--losses", defaultValue = "12", description = "In each play, at least (${DEFAULT-VALUE}).")
-    private int losses;
+    private int minPowerLosses;
 
     @Option(names = "--first-seed", defaultValue = "1", description = "The others follow (${DEFAULT-VALUE}).")
-    private long first;
+    private long firstSeed;
 
     @Option(names = "--schedules", defaultValue = "5000", description = "Drawn for the simulation (${DEFAULT-VALUE}).")
-    private int schedules;
+    private int randomSchedules;
 
     @Option(names = "--planted", defaultValue = "60", description = "Seconds for each planted fault, 0 for none "
             + "(${DEFAULT-VALUE}).")
-    private double planted;
+    private double secondsPerFault;
 
-    private final ConcurrentLinkedQueue<String> wrong = new ConcurrentLinkedQueue<>();
+    private final ConcurrentLinkedQueue<String> failures = new ConcurrentLinkedQueue<>();
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        if (processes < 4 || plays < 0 || losses < 1 || schedules < 0) {
-            throw new vetchrill.tool.BadUse("--processes should be 4 or more, --losses 1 or more, the others 0 or "
+        if (processes < 4 || scenarios < 0 || minPowerLosses < 1 || randomSchedules < 0) {
+            throw new vetchrill.tool.UsageException(
+                    "--processes should be 4 or more, --losses 1 or more, the others 0 or "
                     + "more");
         }
-        int lost = 0;
-        int back = 0;
-        int damaged = 0;
-        int apart = 0;
-        List<Long> serving = new ArrayList<>();
-        for (int i = 0; i < plays; i++) {
-            Path folder = AuditPlay.folder();
-            PowerPlay.Outcome one = PowerPlay.play(processes, 3, losses, true, first + i, folder);
-            lost += one.losses;
-            back += one.wentBack;
-            damaged += one.damaged;
-            apart += one.toldApart;
-            serving.addAll(one.servingMs);
-            wrong.addAll(one.wrong);
+        int powerLosses = 0;
+        int wentBack = 0;
+        int disksDamaged = 0;
+        int toldApart = 0;
+        List<Long> servingTimesMs = new ArrayList<>();
+        for (int i = 0; i < scenarios; i++) {
+            Path folder = AuditScenario.createFolder();
+            PowerLossScenario.Outcome outcome = PowerLossScenario.run(processes, 3, minPowerLosses, true, firstSeed + i,
+                    folder);
+            powerLosses += outcome.powerLosses;
+            wentBack += outcome.regressions;
+            disksDamaged += outcome.disksDamaged;
+            toldApart += outcome.damageDetected;
+            servingTimesMs.addAll(outcome.recoveryTimesMs);
+            failures.addAll(outcome.violations);
             System.out.printf("seed %d: losses=%d went_back=%d disks_damaged=%d told_apart=%d serving_ms=%s%n",
-                    first + i, one.losses, one.wentBack, one.damaged, one.toldApart, one.servingMs);
-            if (one.wrong.isEmpty()) {
-                Folders.remove(folder);
+                    firstSeed + i, outcome.powerLosses, outcome.regressions, outcome.disksDamaged,
+                    outcome.damageDetected, outcome.recoveryTimesMs);
+            if (outcome.violations.isEmpty()) {
+                Folders.deleteRecursively(folder);
             }
         }
-        LongAdder simulated = new LongAdder();
-        drawn(simulated);
-        int sown = 0;
-        int found = 0;
-        for (String which : planted > 0 ? List.of("store-", "recovery-") : List.<String>of()) {
+        LongAdder simulatedLosses = new LongAdder();
+        runRandomSchedules(simulatedLosses);
+        int plantedFaults = 0;
+        int faultsFound = 0;
+        for (String namePrefix : secondsPerFault > 0 ? List.of("store-", "recovery-") : List.<String>of()) {
             FaultsCommand faults = new FaultsCommand();
-            new picocli.CommandLine(faults).execute("--only", which, "--seconds", Double.toString(planted));
-            sown += faults.planted;
-            found += faults.found;
+            new picocli.CommandLine(faults).execute("--only", namePrefix, "--seconds",
+                    Double.toString(secondsPerFault));
+            plantedFaults += faults.planted;
+            faultsFound += faults.found;
         }
-        wrong.stream().distinct().limit(20).forEach(System.out::println);
-        serving.sort(null);
+        failures.stream().distinct().limit(20).forEach(System.out::println);
+        servingTimesMs.sort(null);
         System.out.printf(Locale.ROOT, "measure recovery: losses=%d processes=%d went_back=%d serving_p50_ms=%s "
-                + "disks_damaged=%d told_apart=%d schedules=%d losses_simulated=%d planted=%d found=%d%n", lost,
-                processes, back, serving.isEmpty() ? "none" : serving.get(serving.size() / 2), damaged, apart,
-                schedules, simulated.sum(), sown, found);
-        return wrong.isEmpty() ? 0 : 1;
+                + "disks_damaged=%d told_apart=%d schedules=%d losses_simulated=%d planted=%d found=%d%n", powerLosses,
+                processes, wentBack, servingTimesMs.isEmpty() ? "none" : servingTimesMs.get(servingTimesMs.size() / 2),
+                disksDamaged, toldApart,
+                randomSchedules, simulatedLosses.sum(), plantedFaults, faultsFound);
+        return failures.isEmpty() ? 0 : 1;
     }
 
-    private void drawn(LongAdder lost) {
-        VersionsTarget.SCRIPTS.drawn(first, schedules).parallelStream().forEach(script -> {
+    private void runRandomSchedules(LongAdder simulatedLosses) {
+        VersionsTarget.SCRIPT_FORMAT.randomScripts(firstSeed, randomSchedules).parallelStream().forEach(script -> {
             try {
-                lost.add(RecoveryTarget.play(script).losses);
+                simulatedLosses.add(RecoveryTarget.play(script).powerLosses);
             } catch (RuntimeException e) {
-                wrong.add("schedule " + java.util.HexFormat.of().formatHex(script) + ": " + e.getMessage());
+                failures.add("schedule " + java.util.HexFormat.of().formatHex(script) + ": " + e.getMessage());
             }
         });
-        System.out.printf("schedules: %d drawn%n", schedules);
+        System.out.printf("schedules: %d drawn%n", randomSchedules);
     }
 }
--- a/fuzz/src/main/java/vetchrill/fuzz/ProductLoader.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/ProductLoader.java
@@ -15,13 +15,13 @@
  */
 final class ProductLoader extends ClassLoader {
     private final Instrumenter instrumenter = new Instrumenter(new Accessor());
-    private final Path first;
+    private final Path overlay;
     private final boolean instrumented;
 
     /** {@code first} may be null. */
-    ProductLoader(Path first, boolean instrumented) {
+    ProductLoader(Path overlay, boolean instrumented) {
         super(ProductLoader.class.getClassLoader());
-        this.first = first;
+        this.overlay = overlay;
         this.instrumented = instrumented;
     }
 
@@ -31,29 +31,30 @@
         public int generateDataAccessor(long id, String name, int count, MethodVisitor code) {
             code.visitLdcInsn(name);
             code.visitLdcInsn(count);
-            code.visitMethodInsn(Opcodes.INVOKESTATIC, "vetchrill/fuzz/Probes", "of", "(Ljava/lang/String;I)[Z", false);
+            code.visitMethodInsn(Opcodes.INVOKESTATIC, "vetchrill/fuzz/CoverageProbes", "of", "(Ljava/lang/String;I)[Z",
+                    false);
             return 2;
         }
     }
 
-    private static boolean shared(String name) {
-        return !name.startsWith("vetchrill.") || name.equals("vetchrill.fuzz.Probes")
-                || name.equals("vetchrill.fuzz.Finding") || name.equals("vetchrill.fuzz.Target");
+    private static boolean isShared(String name) {
+        return !name.startsWith("vetchrill.") || name.equals("vetchrill.fuzz.CoverageProbes")
+                || name.equals("vetchrill.fuzz.InvariantViolation") || name.equals("vetchrill.fuzz.Target");
     }
 
-    private static boolean product(String name) {
-        return !name.startsWith("vetchrill.fuzz.") && !name.equals("vetchrill.routing.Inside");
+    private static boolean isProduct(String name) {
+        return !name.startsWith("vetchrill.fuzz.") && !name.equals("vetchrill.routing.ProcessingChainState");
     }
 
     @Override
     protected Class<?> loadClass(String name, boolean resolve) throws ClassNotFoundException {
-        if (shared(name)) {
+        if (isShared(name)) {
             return super.loadClass(name, resolve);
         }
         synchronized (getClassLoadingLock(name)) {
             Class<?> loaded = findLoadedClass(name);
             if (loaded == null) {
-                byte[] code = code(name);
+                byte[] code = loadCode(name);
                 loaded = defineClass(name, code, 0, code.length);
             }
             if (resolve) {
@@ -63,13 +64,13 @@
         }
     }
 
-    private byte[] code(String name) throws ClassNotFoundException {
+    private byte[] loadCode(String name) throws ClassNotFoundException {
         String file = name.replace('.', '/') + ".class";
         try {
             byte[] code;
-            Path faulty = first == null ? null : first.resolve(file);
-            if (faulty != null && Files.exists(faulty)) {
-                code = Files.readAllBytes(faulty);
+            Path overlaid = overlay == null ? null : overlay.resolve(file);
+            if (overlaid != null && Files.exists(overlaid)) {
+                code = Files.readAllBytes(overlaid);
             } else {
                 try (InputStream in = getParent().getResourceAsStream(file)) {
                     if (in == null) {
@@ -78,7 +79,7 @@
                     code = in.readAllBytes();
                 }
             }
-            return instrumented && product(name) ? instrumenter.instrument(code, name) : code;
+            return instrumented && isProduct(name) ? instrumenter.instrument(code, name) : code;
         } catch (IOException e) {
             throw new ClassNotFoundException(name, e);
         }
--- /dev/null
+++ b/fuzz/src/main/java/vetchrill/fuzz/ScriptFormat.java
@@ -0,0 +1,85 @@
+package vetchrill.fuzz;
+
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.SplittableRandom;
+
+/** Inputs that are a head and then steps of so many octets each, as the scripts of what is simulated are. */
+public record ScriptFormat(int headerBytes, int stepBytes, int maxSteps) {
+    /** Octets past which nothing of a script is played. */
+    public int maxBytes() {
+        return headerBytes + stepBytes * maxSteps;
+    }
+
+    /** A few to begin with, of so many steps. */
+    public List<byte[]> seeds(int firstSeed, int stepCount) {
+        List<byte[]> seeds = new ArrayList<>();
+        for (int i = 0; i < 4; i++) {
+            SplittableRandom chance = new SplittableRandom(firstSeed + i);
+            byte[] seed = new byte[headerBytes + stepBytes * stepCount];
+            for (int j = 0; j < seed.length; j++) {
+                seed[j] = (byte) chance.nextInt();
+            }
+            seeds.add(seed);
+        }
+        return seeds;
+    }
+
+    /** A story as a script, its head empty. */
+    public byte[] encode(int[][] scenario) {
+        byte[] script = new byte[headerBytes + stepBytes * scenario.length];
+        for (int i = 0; i < stepBytes * scenario.length; i++) {
+            script[headerBytes + i] = (byte) scenario[i / stepBytes][i % stepBytes];
+        }
+        return script;
+    }
+
+    /** So many of four to 27 steps each, every octet drawn. */
+    public List<byte[]> randomScripts(long seed, int count) {
+        SplittableRandom chance = new SplittableRandom(seed);
+        List<byte[]> scripts = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            byte[] script = new byte[headerBytes + stepBytes * (4 + chance.nextInt(24))];
+            for (int j = 0; j < script.length; j++) {
+                script[j] = (byte) chance.nextInt();
+            }
+            scripts.add(script);
+        }
+        return scripts;
+    }
+
+    /** A step is put in, taken out, moved, or made another; or all of it is played in another order of things. */
+    public byte[] mutate(byte[] input, SplittableRandom chance) {
+        int stepCount = (input.length - headerBytes) / stepBytes;
+        if (stepCount < 1) {
+            return null;
+        }
+        byte[] out = input.clone();
+        int offset = headerBytes + stepBytes * chance.nextInt(stepCount);
+        switch (chance.nextInt(5)) {
+            case 0 -> out[chance.nextInt(headerBytes)] = (byte) chance.nextInt();
+            case 1 -> {
+                for (int i = 0; i < stepBytes; i++) {
+                    out[offset + i] = (byte) chance.nextInt();
+                }
+            }
+            case 2 -> {
+                out = new byte[input.length + stepBytes];
+                System.arraycopy(input, 0, out, 0, offset);
+                for (int i = 0; i < stepBytes; i++) {
+                    out[offset + i] = (byte) chance.nextInt();
+                }
+                System.arraycopy(input, offset, out, offset + stepBytes, input.length - offset);
+            }
+            case 3 -> {
+                out = new byte[input.length - stepBytes];
+                System.arraycopy(input, 0, out, 0, offset);
+                System.arraycopy(input, offset + stepBytes, out, offset, input.length - offset - stepBytes);
+            }
+            default -> System.arraycopy(input, headerBytes + stepBytes * chance.nextInt(stepCount), out, offset,
+                    stepBytes);
+        }
+        return out.length > maxBytes() ? Arrays.copyOf(out, maxBytes()) : out;
+    }
+}
--- a/fuzz/src/main/java/vetchrill/fuzz/Target.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/Target.java
@@ -17,7 +17,7 @@
     List<byte[]> seeds();
 
     /** Another input by the rules of the format, or null where bytes are as good as any. */
-    default byte[] mutate(byte[] input, SplittableRandom chance) {
+    default byte[] mutate(byte[] input, SplittableRandom random) {
         return null;
     }
 
--- a/fuzz/src/main/java/vetchrill/fuzz/chain/SimPipe.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/chain/SimChannel.java
@@ -6,65 +6,65 @@
 import vetchrill.transport.DuplexChannel;
 
 /** One connection in memory. What its peer does to it is up to the peer; the chain sees what a socket would show. */
-final class SimPipe implements DuplexChannel {
+final class SimChannel implements DuplexChannel {
     /** What the peer hears of the other side, at once; it passes it on in its own time. */
     interface Peer {
-        void written(byte[] bytes);
+        void onWritten(byte[] bytes);
 
         /** Nothing more comes; the peer may still send. */
-        void ended();
+        void onOutputShutdown();
 
         /** {@code unread}: over bytes that the chain had not read, which is a reset. */
-        void closed(boolean unread);
+        void onClosed(boolean unread);
     }
 
     final Peer peer;
     /** Whoever reads this side; null once it has ended. */
     IoTask reader;
     /** The chain has had it. */
-    boolean taken;
-    private byte[] in = new byte[0];
-    private int at;
+    boolean accepted;
+    private byte[] unread = new byte[0];
+    private int position;
     /** Bytes that the chain has read in all. */
-    long consumed;
-    private boolean ended;
+    long bytesRead;
+    private boolean inputEnded;
     private boolean reset;
-    private boolean shutOutput;
+    private boolean outputShutdown;
     boolean closed;
     /** Its peer takes nothing until then. */
-    long stalledUntil;
+    long writesStalledUntil;
 
-    SimPipe(Peer peer) {
+    SimChannel(Peer peer) {
         this.peer = peer;
     }
 
-    static byte[] joined(byte[] one, byte[] two) {
-        byte[] both = Arrays.copyOf(one, one.length + two.length);
-        System.arraycopy(two, 0, both, one.length, two.length);
-        return both;
+    static byte[] concatenate(byte[] first, byte[] second) {
+        byte[] result = Arrays.copyOf(first, first.length + second.length);
+        System.arraycopy(second, 0, result, first.length, second.length);
+        return result;
     }
 
     /** Bytes arrive from the peer. */
-    void arrive(byte[] bytes) {
-        if (!closed && !ended && !reset) {
-            in = joined(Arrays.copyOfRange(in, at, in.length), bytes);
-            at = 0;
+    void receive(byte[] bytes) {
+        if (!closed && !inputEnded && !reset) {
+            unread = concatenate(Arrays.copyOfRange(unread, position, unread.length), bytes);
+            position = 0;
         }
     }
 
-    void end() {
-        ended = true;
+    void endInput() {
+        inputEnded = true;
     }
 
     /** As a connection is torn down: what was not read yet is gone. */
     void reset() {
         reset = true;
-        in = new byte[0];
-        at = 0;
+        unread = new byte[0];
+        position = 0;
     }
 
     boolean readable() {
-        return at < in.length || ended || reset || closed;
+        return position < unread.length || inputEnded || reset || closed;
     }
 
     @Override
@@ -75,39 +75,39 @@
         if (reset) {
             throw new IOException("Connection reset");
         }
-        if (at == in.length) {
-            if (!ended) {
+        if (position == unread.length) {
+            if (!inputEnded) {
                 throw new IllegalStateException("the rig steps a reader that has nothing to read");
             }
             return -1;
         }
-        int got = Math.min(size, in.length - at);
-        System.arraycopy(in, at, buf, from, got);
-        at += got;
-        consumed += got;
-        return got;
+        int count = Math.min(size, unread.length - position);
+        System.arraycopy(unread, position, buf, from, count);
+        position += count;
+        bytesRead += count;
+        return count;
     }
 
     @Override
     public void write(byte[] buf, int from, int size) throws IOException {
-        if (closed || reset || shutOutput) {
+        if (closed || reset || outputShutdown) {
             throw new IOException("Broken pipe");
         }
         if (size > 0) {
-            peer.written(Arrays.copyOfRange(buf, from, from + size));
+            peer.onWritten(Arrays.copyOfRange(buf, from, from + size));
         }
     }
 
     @Override
     public boolean hasUnread() {
-        return !closed && at < in.length;
+        return !closed && position < unread.length;
     }
 
     @Override
     public void shutdownOutput() {
-        if (!shutOutput && !closed && !reset) {
-            shutOutput = true;
-            peer.ended();
+        if (!outputShutdown && !closed && !reset) {
+            outputShutdown = true;
+            peer.onOutputShutdown();
         }
     }
 
@@ -115,7 +115,7 @@
     public void close() {
         if (!closed) {
             closed = true;
-            peer.closed(!reset && at < in.length);
+            peer.onClosed(!reset && position < unread.length);
         }
     }
 }
--- a/fuzz/src/main/java/vetchrill/fuzz/chain/SimInterpreter.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/chain/SimInterpreter.java
@@ -6,7 +6,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import vetchrill.fuzz.Finding;
+import vetchrill.fuzz.InvariantViolation;
 
 /**
  * The interpreter of the simulated chain: it runs what it is asked for, tells of it, and may be cut off at any byte.
@@ -15,228 +15,230 @@
     private record Notice(int number, byte[] bytes) {
     }
 
-    private final ChainRun run;
-    private final List<Notice> kept = new ArrayList<>();
-    private final Map<String, Integer> running = new HashMap<>();
+    private final ChainSimulation simulation;
+    private final List<Notice> noticeLog = new ArrayList<>();
+    private final Map<String, Integer> activeRuns = new HashMap<>();
     private Link link;
-    private int numbered;
+    private int lastNoticeNumber;
     /** Counts its starts; what belongs to an earlier one never ends. */
-    private int life;
-    private boolean fresh;
-    private long started;
-    boolean bannerHeld;
+    private int incarnation;
+    private boolean restarted;
+    private long startedAt;
+    boolean bannerWithheld;
     boolean answersGauges = true;
-    boolean doubles;
+    boolean duplicatesNotices;
     /** Runs end when they are told to. */
-    boolean byHand;
+    boolean manualCompletion;
     /** The next run that is asked for is lost, and the link with it. */
-    boolean losesNext;
-    int longest = 60;
-    int bad;
+    boolean dropsNextApply;
+    int maxRunMs = 60;
+    int failureOdds;
     private final int cores = 2;
-    private final List<Runnable> ends = new ArrayList<>();
+    private final List<Runnable> pendingCompletions = new ArrayList<>();
 
-    SimInterpreter(ChainRun run) {
-        this.run = run;
-        started = run.now() - 600_000;
+    SimInterpreter(ChainSimulation simulation) {
+        this.simulation = simulation;
+        startedAt = simulation.now() - 600_000;
     }
 
     /** One link: commands come in pieces and take their time, and so do notices. */
-    final class Link implements SimPipe.Peer {
-        final SimPipe pipe = new SimPipe(this);
-        private byte[] heard = new byte[0];
-        private final ChainRun.Way in = run.new Way();
-        private final ChainRun.Way out = run.new Way();
-        private boolean cut;
-        private int waitingBanner = -1;
+    final class Link implements SimChannel.Peer {
+        final SimChannel channel = new SimChannel(this);
+        private byte[] received = new byte[0];
+        private final ChainSimulation.DelayedStream inbound = simulation.new DelayedStream();
+        private final ChainSimulation.DelayedStream outbound = simulation.new DelayedStream();
+        private boolean disconnected;
+        private int unansweredLastRead = -1;
 
         @Override
-        public void written(byte[] bytes) {
-            if (losesNext && new String(bytes, StandardCharsets.ISO_8859_1).contains("APPLY ")) {
-                losesNext = false;
-                cut();
+        public void onWritten(byte[] bytes) {
+            if (dropsNextApply && new String(bytes, StandardCharsets.ISO_8859_1).contains("APPLY ")) {
+                dropsNextApply = false;
+                disconnect();
                 return;
             }
-            in.send(bytes, this::hears);
+            inbound.send(bytes, this::onBytes);
         }
 
         @Override
-        public void ended() {
+        public void onOutputShutdown() {
             // The chain closes its links at once.
         }
 
         @Override
-        public void closed(boolean unread) {
-            cut = true;
+        public void onClosed(boolean unread) {
+            disconnected = true;
             link = link == this ? null : link;
         }
 
         /** Between any two bytes: what is on its way in either direction is lost. */
-        void cut() {
-            cut = true;
+        void disconnect() {
+            disconnected = true;
             link = link == this ? null : link;
-            pipe.reset();
-            run.ready(pipe);
+            channel.reset();
+            simulation.scheduleRead(channel);
         }
 
         void send(byte[] bytes) {
-            out.send(bytes, piece -> {
-                if (!cut) {
-                    pipe.arrive(piece);
-                    run.ready(pipe);
+            outbound.send(bytes, piece -> {
+                if (!disconnected) {
+                    channel.receive(piece);
+                    simulation.scheduleRead(channel);
                 }
             });
         }
 
-        private void hears(byte[] bytes) {
-            if (cut) {
+        private void onBytes(byte[] bytes) {
+            if (disconnected) {
                 return;
             }
-            heard = SimPipe.joined(heard, bytes);
+            received = SimChannel.concatenate(received, bytes);
             while (true) {
                 int end = 0;
-                while (end < heard.length && heard[end] != '\n') {
+                while (end < received.length && received[end] != '\n') {
                     end++;
                 }
-                if (end == heard.length) {
+                if (end == received.length) {
                     return;
                 }
-                String line = new String(heard, 0, end - 1, StandardCharsets.ISO_8859_1);
+                String line = new String(received, 0, end - 1, StandardCharsets.ISO_8859_1);
                 String[] words = line.split(" ");
-                int after = end + 1;
+                int next = end + 1;
                 switch (words[0]) {
-                    case "CONNECT" -> connected(this, Integer.parseInt(words[1]));
+                    case "CONNECT" -> onConnect(this, Integer.parseInt(words[1]));
                     case "TOP" -> {
-                        if (answersGauges && waitingBanner < 0) {
+                        if (answersGauges && unansweredLastRead < 0) {
                             send(gauges(words[1]));
                         }
                     }
                     case "APPLY" -> {
                         int length = Integer.parseInt(words[3]);
-                        if (heard.length < after + length + 2) {
+                        if (received.length < next + length + 2) {
                             return;
                         }
-                        byte[] body = Arrays.copyOfRange(heard, after, after + length);
-                        after += length + 2;
-                        apply(words[1], words[2], body);
+                        byte[] body = Arrays.copyOfRange(received, next, next + length);
+                        next += length + 2;
+                        startRun(words[1], words[2], body);
                     }
-                    default -> throw new Finding("a command that the interpreter does not know");
+                    default -> throw new InvariantViolation("a command that the interpreter does not know");
                 }
-                heard = Arrays.copyOfRange(heard, after, heard.length);
+                received = Arrays.copyOfRange(received, next, received.length);
             }
         }
     }
 
     private byte[] gauges(String tag) {
-        double busy = Math.min(1, running.size() / (double) cores);
-        return ("TOPS " + tag + " " + busy + " " + running.size() + " 0.1 3\r\n").getBytes(StandardCharsets.US_ASCII);
+        double busy = Math.min(1, activeRuns.size() / (double) cores);
+        return ("TOPS " + tag + " " + busy + " " + activeRuns.size() + " 0.1 3\r\n")
+                .getBytes(StandardCharsets.US_ASCII);
     }
 
     Link link() {
         return link;
     }
 
-    Link dialled() {
+    Link openLink() {
         return new Link();
     }
 
-    private void connected(Link to, int lastRead) {
-        if (link != null && link != to) {
-            link.cut();
+    private void onConnect(Link newLink, int lastRead) {
+        if (link != null && link != newLink) {
+            link.disconnect();
         }
-        link = to;
-        if (lastRead > numbered) {
+        link = newLink;
+        if (lastRead > lastNoticeNumber) {
             // It has started anew, and takes its numbers up where the other side has got to.
-            numbered = lastRead;
+            lastNoticeNumber = lastRead;
         }
-        to.waitingBanner = lastRead;
-        if (!bannerHeld) {
-            banner();
+        newLink.unansweredLastRead = lastRead;
+        if (!bannerWithheld) {
+            sendBanner();
         }
     }
 
-    void banner() {
-        if (link == null || link.waitingBanner < 0) {
+    void sendBanner() {
+        if (link == null || link.unansweredLastRead < 0) {
             return;
         }
-        int after = link.waitingBanner;
-        link.waitingBanner = -1;
-        link.send(("BANNER " + (fresh ? "new " : "old ") + (run.now() - started) / 10 + "\r\n")
+        int lastRead = link.unansweredLastRead;
+        link.unansweredLastRead = -1;
+        link.send(("BANNER " + (restarted ? "new " : "old ") + (simulation.now() - startedAt) / 10 + "\r\n")
                 .getBytes(StandardCharsets.US_ASCII));
-        for (Notice notice : kept) {
-            if (notice.number > after) {
+        for (Notice notice : noticeLog) {
+            if (notice.number > lastRead) {
                 link.send(notice.bytes);
             }
         }
     }
 
-    private void tell(String text, byte[] rest) {
-        byte[] bytes = SimPipe.joined(text.replace("#",
-                Integer.toString(++numbered)).getBytes(StandardCharsets.US_ASCII),
-                rest);
-        kept.add(new Notice(numbered, bytes));
-        if (link != null && link.waitingBanner < 0) {
+    private void sendNotice(String text, byte[] payload) {
+        byte[] bytes = SimChannel.concatenate(text.replace("#",
+                Integer.toString(++lastNoticeNumber)).getBytes(StandardCharsets.US_ASCII),
+                payload);
+        noticeLog.add(new Notice(lastNoticeNumber, bytes));
+        if (link != null && link.unansweredLastRead < 0) {
             link.send(bytes);
-            if (doubles) {
+            if (duplicatesNotices) {
                 link.send(bytes);
             }
         }
     }
 
-    void remark() {
-        tell("TRACE # VALUE is a word like any other\r\n", new byte[0]);
+    void sendTrace() {
+        sendNotice("TRACE # VALUE is a word like any other\r\n", new byte[0]);
     }
 
-    private void value(String id, String end, long took, byte[] result) {
-        byte[] rest = SimPipe.joined(result, new byte[] {'\r', '\n'});
-        tell("VALUE # " + id + " " + end + " " + took / 10.0 + " " + result.length + "\r\n", rest);
+    private void sendValue(String id, String outcome, long duration, byte[] result) {
+        byte[] payload = SimChannel.concatenate(result, new byte[] {'\r', '\n'});
+        sendNotice("VALUE # " + id + " " + outcome + " " + duration / 10.0 + " " + result.length + "\r\n", payload);
     }
 
-    private void apply(String id, String group, byte[] body) {
-        Ledger.Ex ex = run.ledger.asked(id, group, body, run.now());
-        if (running.containsKey(id)) {
+    private void startRun(String id, String group, byte[] body) {
+        ExchangeOracle.TrackedExchange ex = simulation.oracle.onRunRequested(id, group, body, simulation.now());
+        if (activeRuns.containsKey(id)) {
             return;
         }
-        if (ex.answers > 0 || ex.excused) {
+        if (ex.answerCount > 0 || ex.exempt) {
             // Its request is over: nothing is started.
-            value(id, "gone", 0, new byte[0]);
+            sendValue(id, "gone", 0, new byte[0]);
             return;
         }
-        run.ledger.begins(ex, run.now());
-        int of = life;
-        int n = ex.runs;
-        long began = run.now();
-        running.put(id, n);
-        Runnable end = () -> {
-            if (of == life && running.remove(id) != null) {
-                ex.runOver = true;
-                boolean fails = bad > 0 && run.below(bad + 1) > 0;
-                value(id, fails ? "bad" : "good", run.now() - began, fails ? new byte[0] : run.ledger.result(ex, n));
+        simulation.oracle.onRunStarted(ex, simulation.now());
+        int startedIn = incarnation;
+        int runNumber = ex.runCount;
+        long startedAt = simulation.now();
+        activeRuns.put(id, runNumber);
+        Runnable completion = () -> {
+            if (startedIn == incarnation && activeRuns.remove(id) != null) {
+                ex.runEnded = true;
+                boolean fails = failureOdds > 0 && simulation.nextInt(failureOdds + 1) > 0;
+                sendValue(id, fails ? "bad" : "good", simulation.now() - startedAt,
+                        fails ? new byte[0] : simulation.oracle.createResult(ex, runNumber));
             }
         };
-        if (byHand) {
-            ends.add(end);
+        if (manualCompletion) {
+            pendingCompletions.add(completion);
         } else {
-            run.at(began + 10L * run.below(1 + longest), end);
+            simulation.schedule(startedAt + 10L * simulation.nextInt(1 + maxRunMs), completion);
         }
     }
 
     /** All that runs by hand ends now. */
-    void endAll() {
-        List<Runnable> now = List.copyOf(ends);
-        ends.clear();
-        now.forEach(Runnable::run);
+    void completeAll() {
+        List<Runnable> due = List.copyOf(pendingCompletions);
+        pendingCompletions.clear();
+        due.forEach(Runnable::run);
     }
 
     /** Its process dies and another comes up: what ran is gone, and nothing tells of it. */
     void restart() {
-        life++;
-        running.clear();
-        kept.clear();
-        fresh = true;
-        started = run.now();
+        incarnation++;
+        activeRuns.clear();
+        noticeLog.clear();
+        restarted = true;
+        startedAt = simulation.now();
         if (link != null) {
-            link.cut();
+            link.disconnect();
         }
     }
 }
--- a/fuzz/src/main/java/vetchrill/fuzz/chain/SimStub.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/chain/SimStub.java
@@ -8,143 +8,147 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import vetchrill.fuzz.Finding;
+import vetchrill.fuzz.InvariantViolation;
 import vetchrill.standin.StubFrames;
 
 /** One connection of a client stub in the simulated chain: what it sends, and what it makes of what it hears. */
-final class SimStub implements SimPipe.Peer {
-    private final ChainRun run;
-    private final ChainRun.Way way;
-    final SimPipe pipe = new SimPipe(this);
-    final Map<Integer, Ledger.Ex> open = new HashMap<>();
-    final Map<Integer, Integer> checks = new HashMap<>();
-    private byte[] heard = new byte[0];
-    private final List<Ledger.Ex> sent = new ArrayList<>();
-    private int noted;
+final class SimStub implements SimChannel.Peer {
+    private final ChainSimulation simulation;
+    private final ChainSimulation.DelayedStream toChain;
+    final SimChannel channel = new SimChannel(this);
+    final Map<Integer, ExchangeOracle.TrackedExchange> exchangesByStream = new HashMap<>();
+    final Map<Integer, Integer> openHealthChecks = new HashMap<>();
+    private byte[] received = new byte[0];
+    private final List<ExchangeOracle.TrackedExchange> sentExchanges = new ArrayList<>();
+    private int consumedCount;
     private long sentBytes;
-    private long lastHeard = Long.MIN_VALUE / 2;
-    int streams;
-    boolean rude;
-    boolean gone;
-    boolean halfShut;
+    private long lastReceivedAt = Long.MIN_VALUE / 2;
+    int lastStream;
+    boolean sentInvalid;
+    boolean disconnected;
+    boolean inputEnded;
     /** It was told that nothing new is taken. */
-    boolean told;
+    boolean goAwayReceived;
     /** It stopped reading for so long that what it gets can be late. */
-    boolean stalls;
+    boolean stalled;
 
-    SimStub(ChainRun run) {
-        this.run = run;
-        way = run.new Way();
+    SimStub(ChainSimulation simulation) {
+        this.simulation = simulation;
+        toChain = simulation.new DelayedStream();
     }
 
     void send(byte[] bytes) {
         sentBytes += bytes.length;
-        way.send(bytes, piece -> {
-            pipe.arrive(piece);
-            run.ready(pipe);
+        toChain.send(bytes, piece -> {
+            channel.receive(piece);
+            simulation.scheduleRead(channel);
         });
     }
 
-    void exchange(Ledger.Ex ex, byte[] frame) {
-        ex.afterRude = rude;
+    void sendExchange(ExchangeOracle.TrackedExchange ex, byte[] frame) {
+        ex.afterInvalidFrame = sentInvalid;
         send(frame);
-        ex.lastByte = sentBytes;
-        sent.add(ex);
-        open.put(ex.stream, ex);
-        run.ledger.add(ex);
+        ex.endOffset = sentBytes;
+        sentExchanges.add(ex);
+        exchangesByStream.put(ex.stream, ex);
+        simulation.oracle.add(ex);
     }
 
-    void halfShut() {
-        halfShut = true;
-        way.after(() -> {
-            pipe.end();
-            run.ready(pipe);
+    void endInput() {
+        inputEnded = true;
+        toChain.runAfterPending(() -> {
+            channel.endInput();
+            simulation.scheduleRead(channel);
         });
     }
 
     void reset() {
-        gone = true;
-        run.ledger.all.stream().filter(ex -> ex.stub == this).forEach(ex -> ex.excused = true);
-        pipe.reset();
-        run.ready(pipe);
+        disconnected = true;
+        simulation.oracle.exchanges.stream().filter(ex -> ex.stub == this).forEach(ex -> ex.exempt = true);
+        channel.reset();
+        simulation.scheduleRead(channel);
     }
 
     @Override
-    public void written(byte[] bytes) {
-        if (gone) {
+    public void onWritten(byte[] bytes) {
+        if (disconnected) {
             return;
         }
-        lastHeard = run.now();
-        heard = SimPipe.joined(heard, bytes);
-        while (heard.length >= 4) {
-            int length = (heard[0] & 0xff) << 24 | (heard[1] & 0xff) << 16 | (heard[2] & 0xff) << 8 | heard[3] & 0xff;
+        lastReceivedAt = simulation.now();
+        received = SimChannel.concatenate(received, bytes);
+        while (received.length >= 4) {
+            int length =
+                    (received[0] & 0xff) << 24 | (received[1] & 0xff) << 16 | (received[2] & 0xff) << 8
+                            | received[3] & 0xff;
             if (length < 5 || length > 8_192) {
-                throw new Finding("a frame that no stub can read is sent");
+                throw new InvariantViolation("a frame that no stub can read is sent");
             }
-            if (heard.length < 4 + length) {
+            if (received.length < 4 + length) {
                 break;
             }
-            byte[] one = Arrays.copyOf(heard, 4 + length);
-            heard = Arrays.copyOfRange(heard, 4 + length, heard.length);
+            byte[] frameBytes = Arrays.copyOf(received, 4 + length);
+            received = Arrays.copyOfRange(received, 4 + length, received.length);
             try {
-                hears(StubFrames.read(new DataInputStream(new ByteArrayInputStream(one))));
+                onFrame(StubFrames.read(new DataInputStream(new ByteArrayInputStream(frameBytes))));
             } catch (IOException | IndexOutOfBoundsException e) {
-                throw new Finding("a frame that no stub can read is sent", e);
+                throw new InvariantViolation("a frame that no stub can read is sent", e);
             }
         }
     }
 
-    private void hears(StubFrames.Frame frame) {
+    private void onFrame(StubFrames.Frame frame) {
         switch (frame.type()) {
             case StubFrames.ANSWER -> {
-                Ledger.Ex ex = open.get(frame.stream());
+                ExchangeOracle.TrackedExchange ex = exchangesByStream.get(frame.stream());
                 if (ex != null) {
-                    if (ex.answers == 0 || !rude) {
-                        run.ledger.answered(ex, frame.code(), frame.body(), run.now());
+                    if (ex.answerCount == 0 || !sentInvalid) {
+                        simulation.oracle.onAnswer(ex, frame.code(), frame.body(), simulation.now());
                     }
-                } else if (!rude) {
-                    throw new Finding("an answer to nothing");
+                } else if (!sentInvalid) {
+                    throw new InvariantViolation("an answer to nothing");
                 } else if (frame.code() == StubFrames.COMPLETED) {
-                    throw new Finding("what is no exchange is completed");
+                    throw new InvariantViolation("what is no exchange is completed");
                 }
             }
             case 32 -> {
-                if (checks.merge(frame.stream(), -1, Integer::sum) < 0 && !rude) {
-                    throw new Finding("a health check is answered twice");
+                if (openHealthChecks.merge(frame.stream(), -1, Integer::sum) < 0 && !sentInvalid) {
+                    throw new InvariantViolation("a health check is answered twice");
                 }
             }
-            case StubFrames.NOTHING_NEW -> run.at(run.now() + run.delay(), () -> run.toldNothingNew(this));
-            default -> throw new Finding("a frame of a type that no stub knows");
+            case StubFrames.GO_AWAY -> simulation.schedule(simulation.now() + simulation.randomDelay(),
+                    () -> simulation.onGoAway(this));
+            default -> throw new InvariantViolation("a frame of a type that no stub knows");
         }
     }
 
     /** A stub closes what was closed by the other side; a rude one holds on to it for good. */
     @Override
-    public void ended() {
-        if (!gone) {
-            gone = true;
-            run.ledger.closed(this, run.now());
-            if (!rude) {
-                halfShut();
+    public void onOutputShutdown() {
+        if (!disconnected) {
+            disconnected = true;
+            simulation.oracle.onConnectionClosed(this, simulation.now());
+            if (!sentInvalid) {
+                endInput();
             }
         }
     }
 
     @Override
-    public void closed(boolean unread) {
-        if (unread && !stalls && run.now() - lastHeard < Ledger.ON_ITS_WAY) {
-            throw new Finding("answers that were just written go with a reset");
+    public void onClosed(boolean unread) {
+        if (unread && !stalled && simulation.now() - lastReceivedAt < ExchangeOracle.WRITE_DELAY_TENTHS_MS) {
+            throw new InvariantViolation("answers that were just written go with a reset");
         }
-        if (!gone) {
-            gone = true;
-            run.ledger.closed(this, run.now());
+        if (!disconnected) {
+            disconnected = true;
+            simulation.oracle.onConnectionClosed(this, simulation.now());
         }
     }
 
     /** What the chain has read by now. */
-    void note(long now) {
-        while (noted < sent.size() && pipe.consumed >= sent.get(noted).lastByte) {
-            sent.get(noted++).consumed = now;
+    void recordConsumed(long now) {
+        while (consumedCount < sentExchanges.size() && channel.bytesRead
+                >= sentExchanges.get(consumedCount).endOffset) {
+            sentExchanges.get(consumedCount++).consumedAt = now;
         }
     }
 }
--- a/fuzz/src/main/java/vetchrill/fuzz/targets/FramesTarget.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/targets/FramesTarget.java
@@ -6,7 +6,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
-import vetchrill.fuzz.Finding;
+import vetchrill.fuzz.InvariantViolation;
 import vetchrill.fuzz.Target;
 import vetchrill.protocol.Fields;
 import vetchrill.protocol.FrameReader;
@@ -31,140 +31,142 @@
     }
 
     /** Writes down what it is told, in words that compare. */
-    private static final class Taker implements FrameReader.Handler {
-        final List<String> told = new ArrayList<>();
+    private static final class RecordingHandler implements FrameReader.Handler {
+        final List<String> events = new ArrayList<>();
         private final Fields fields = new Fields();
 
         @Override
         public boolean onFrame(int type, int stream, byte[] buf, int from, int to) {
-            String wrong = fields.parse(buf, from, to);
-            told.add("frame " + type + " " + stream + " " + Arrays.hashCode(Arrays.copyOfRange(buf, from, to)) + " "
-                    + (wrong == null ? fields.text("rid") + " " + fields.wholeNumber("t0") + " " + fields.number("mem")
+            String error = fields.parse(buf, from, to);
+            events.add("frame " + type + " " + stream + " " + Arrays.hashCode(Arrays.copyOfRange(buf, from, to)) + " "
+                    + (error == null ? fields.text("rid") + " " + fields.wholeNumber("t0") + " " + fields.number("mem")
                     + " "
                     + fields.indexIn("method", List.of("look", "note")) + " " + (to - fields.bodyOffset()) : "bad"));
-            if (wrong == null && (fields.bodyOffset() < from || fields.bodyOffset() > to)) {
-                throw new Finding("fields end outside of their frame");
+            if (error == null && (fields.bodyOffset() < from || fields.bodyOffset() > to)) {
+                throw new InvariantViolation("fields end outside of their frame");
             }
             return true;
         }
 
         @Override
         public boolean onOversizedFrame(int type, int stream) {
-            told.add("oversized " + type + " " + stream);
+            events.add("oversized " + type + " " + stream);
             return true;
         }
 
         @Override
         public void onMalformedInput(String reason) {
-            told.add("broken");
+            events.add("broken");
         }
 
         @Override
-        public void onInputEnded(boolean gone) {
-            told.add("ended");
+        public void onInputEnded(boolean disconnected) {
+            events.add("ended");
         }
     }
 
     /** As the connection reads: a buffer that grows, pieces of given sizes. */
-    private static List<String> inPieces(byte[] input, SplittableRandom chance, boolean whole) {
-        Taker taker = new Taker();
-        FrameReader reader = new FrameReader(LIMITS, taker);
+    private static List<String> readInPieces(byte[] input, SplittableRandom random, boolean whole) {
+        RecordingHandler handler = new RecordingHandler();
+        FrameReader reader = new FrameReader(LIMITS, handler);
         byte[] buf = new byte[LIMITS.initialBufferBytes];
         int from = 0;
         int to = 0;
-        int at = 0;
-        while (at < input.length) {
+        int offset = 0;
+        while (offset < input.length) {
             if (to == buf.length) {
                 if (from > 0) {
                     System.arraycopy(buf, from, buf, 0, to - from);
                 } else if (buf.length >= LIMITS.maxBufferedFrameBytes) {
-                    throw new Finding("a frame that the reader neither takes nor refuses fills its buffer");
+                    throw new InvariantViolation("a frame that the reader neither takes nor refuses fills its buffer");
                 } else {
                     buf = Arrays.copyOf(buf, Math.min(LIMITS.maxBufferedFrameBytes, 2 * buf.length));
                 }
                 to -= from;
                 from = 0;
             }
-            int piece = Math.min(buf.length - to, whole ? input.length - at : Math.min(input.length - at,
-                    1 + chance.nextInt(chance.nextInt(3) == 0 ? 600 : 12)));
-            System.arraycopy(input, at, buf, to, piece);
-            at += piece;
+            int piece = Math.min(buf.length - to, whole ? input.length - offset : Math.min(input.length - offset,
+                    1 + random.nextInt(random.nextInt(3) == 0 ? 600 : 12)));
+            System.arraycopy(input, offset, buf, to, piece);
+            offset += piece;
             to += piece;
             while (from < to) {
-                int took = reader.consume(buf, from, to);
-                if (took < 0) {
-                    return taker.told;
+                int consumed = reader.consume(buf, from, to);
+                if (consumed < 0) {
+                    return handler.events;
                 }
-                if (took == 0) {
+                if (consumed == 0) {
                     break;
                 }
-                if (took > to - from) {
-                    throw new Finding("the reader takes more than there is");
+                if (consumed > to - from) {
+                    throw new InvariantViolation("the reader takes more than there is");
                 }
-                from += took;
+                from += consumed;
             }
         }
-        return taker.told;
+        return handler.events;
     }
 
     /** The page of the protocol, read slowly: the whole input at once, one frame after the other. */
-    private static List<String> reference(byte[] in) {
-        List<String> told = new ArrayList<>();
-        int at = 0;
-        while (in.length - at >= 4) {
+    private static List<String> readSlowly(byte[] in) {
+        List<String> events = new ArrayList<>();
+        int offset = 0;
+        while (in.length - offset >= 4) {
             long length = 0;
             for (int i = 0; i < 4; i++) {
-                length = length * 256 + (in[at + i] & 0xff);
+                length = length * 256 + (in[offset + i] & 0xff);
             }
             if (length < 5 || length > 262_144) {
-                told.add("broken");
-                return told;
+                events.add("broken");
+                return events;
             }
-            if (in.length - at < 9) {
-                return told;
+            if (in.length - offset < 9) {
+                return events;
             }
-            int type = in[at + 4] & 0xff;
-            int stream = (in[at + 5] & 0xff) << 24 | (in[at + 6] & 0xff) << 16 | (in[at + 7] & 0xff) << 8
-                    | in[at + 8] & 0xff;
+            int type = in[offset + 4] & 0xff;
+            int stream = (in[offset + 5] & 0xff) << 24 | (in[offset + 6] & 0xff) << 16 | (in[offset + 7] & 0xff) << 8
+                    | in[offset + 8] & 0xff;
             if (length > LIMITS.maxBufferedFrameBytes - 4) {
-                told.add("oversized " + type + " " + stream);
-                at += (int) Math.min(4 + length, in.length - at);
+                events.add("oversized " + type + " " + stream);
+                offset += (int) Math.min(4 + length, in.length - offset);
                 continue;
             }
-            if (in.length - at < 4 + length) {
-                return told;
+            if (in.length - offset < 4 + length) {
+                return events;
             }
             if (type != 2 && type != 16) {
-                told.add("broken");
-                return told;
+                events.add("broken");
+                return events;
             }
-            byte[] payload = Arrays.copyOfRange(in, at + 9, (int) (at + 4 + length));
-            told.add("frame " + type + " " + stream + " " + Arrays.hashCode(payload) + " " + fields(payload));
-            at += (int) (4 + length);
+            byte[] payload = Arrays.copyOfRange(in, offset + 9, (int) (offset + 4 + length));
+            events.add("frame " + type + " " + stream + " " + Arrays.hashCode(payload) + " "
+                    + readFieldsSlowly(payload));
+            offset += (int) (4 + length);
         }
-        return told;
+        return events;
     }
 
-    private static String fields(byte[] payload) {
+    private static String readFieldsSlowly(byte[] payload) {
         if (payload.length == 0) {
             return "bad";
         }
         List<String> names = new ArrayList<>();
         List<String> values = new ArrayList<>();
-        int at = 1;
+        int offset = 1;
         for (int i = 0; i < (payload[0] & 0xff); i++) {
             for (List<String> part : List.of(names, values)) {
                 int width = part == names ? 1 : 2;
-                if (at + width > payload.length) {
+                if (offset + width > payload.length) {
                     return "bad";
                 }
-                int size = width == 1 ? payload[at] & 0xff : (payload[at] & 0xff) * 256 + (payload[at + 1] & 0xff);
-                at += width;
-                if (at + size > payload.length) {
+                int size = width == 1 ? payload[offset] & 0xff : (payload[offset] & 0xff) * 256
+                        + (payload[offset + 1] & 0xff);
+                offset += width;
+                if (offset + size > payload.length) {
                     return "bad";
                 }
-                part.add(new String(payload, at, size, StandardCharsets.ISO_8859_1));
-                at += size;
+                part.add(new String(payload, offset, size, StandardCharsets.ISO_8859_1));
+                offset += size;
             }
             if (names.indexOf(names.get(i)) != i) {
                 return "bad";
@@ -172,7 +174,7 @@
         }
         String rid = value(names, values, "rid");
         String t0 = value(names, values, "t0");
-        long whole = t0 != null && t0.matches("[0-9]{1,18}") ? Long.parseLong(t0) : -1;
+        long wholeNumber = t0 != null && t0.matches("[0-9]{1,18}") ? Long.parseLong(t0) : -1;
         String mem = value(names, values, "mem");
         double number = Double.NaN;
         if (mem != null && mem.length() <= 32 && mem.matches("[0-9.e+-]+")) {
@@ -186,69 +188,71 @@
         String text = rid == null ? null : new String(rid.getBytes(StandardCharsets.ISO_8859_1),
                 StandardCharsets.UTF_8);
         String method = value(names, values, "method");
-        return text + " " + whole + " " + number + " " + ("look".equals(method) ? 0 : "note".equals(method) ? 1 : -1)
-                + " " + (payload.length - at);
+        return text + " " + wholeNumber + " " + number + " "
+                + ("look".equals(method) ? 0 : "note".equals(method) ? 1 : -1)
+                + " " + (payload.length - offset);
     }
 
     private static String value(List<String> names, List<String> values, String name) {
-        int at = names.indexOf(name);
-        return at < 0 ? null : values.get(at);
+        int index = names.indexOf(name);
+        return index < 0 ? null : values.get(index);
     }
 
     @Override
     public void run(byte[] input) {
-        List<String> whole = inPieces(input, null, true);
-        List<String> pieces = inPieces(input, new SplittableRandom(Arrays.hashCode(input)), false);
-        if (!whole.equals(pieces)) {
-            throw new Finding("the same bytes, cut otherwise, are other frames");
+        List<String> whole = readInPieces(input, null, true);
+        List<String> inPieces = readInPieces(input, new SplittableRandom(Arrays.hashCode(input)), false);
+        if (!whole.equals(inPieces)) {
+            throw new InvariantViolation("the same bytes, cut otherwise, are other frames");
         }
-        if (!whole.equals(reference(input))) {
-            throw new Finding("frames differ from those of the plain reader");
+        if (!whole.equals(readSlowly(input))) {
+            throw new InvariantViolation("frames differ from those of the plain reader");
         }
-        written(input);
+        checkWriter(input);
     }
 
     /** What the program writes, read back by the rules of the page. */
-    private static void written(byte[] input) {
+    private static void checkWriter(byte[] input) {
         int stream = Arrays.hashCode(input);
-        long away = stream & 0xfffff;
-        boolean last = (stream & 1) == 1;
-        byte[] denied = Frames.denied(stream, away, last);
-        StringBuilder wanted = new StringBuilder("B");
-        wanted.append((char) ((away > 0 ? 1 : 0) + (last ? 1 : 0)));
-        if (away > 0) {
-            String wait = Long.toString(away);
-            wanted.append("\7backoff").append((char) 0).append((char) wait.length()).append(wait);
+        long retryAfter = stream & 0xfffff;
+        boolean lastAnswer = (stream & 1) == 1;
+        byte[] rejection = Frames.denied(stream, retryAfter, lastAnswer);
+        StringBuilder expected = new StringBuilder("B");
+        expected.append((char) ((retryAfter > 0 ? 1 : 0) + (lastAnswer ? 1 : 0)));
+        if (retryAfter > 0) {
+            String digits = Long.toString(retryAfter);
+            expected.append("\7backoff").append((char) 0).append((char) digits.length()).append(digits);
         }
-        if (last) {
-            wanted.append("\5final").append((char) 0).append((char) 1).append('1');
+        if (lastAnswer) {
+            expected.append("\5final").append((char) 0).append((char) 1).append('1');
         }
-        same(denied, 4, stream, wanted.toString().getBytes(StandardCharsets.ISO_8859_1));
+        checkFrame(rejection, 4, stream, expected.toString().getBytes(StandardCharsets.ISO_8859_1));
         byte[] result = Arrays.copyOf(input, Math.min(input.length, 4_096));
         byte[] completed = Frames.completed(0, result, 0, result.length);
         Frames.setStream(completed, stream);
         byte[] body = new byte[result.length + 2];
         body[0] = 79;
         System.arraycopy(result, 0, body, 2, result.length);
-        same(completed, 4, stream, body);
-        same(Frames.terminated(stream), 4, stream, new byte[] {69, 0});
-        same(Frames.healthCheckAnswer(stream, last), 32, stream, new byte[] {(byte) (last ? 79 : 69), 0});
-        same(Frames.goAway(), 64, 0, new byte[0]);
+        checkFrame(completed, 4, stream, body);
+        checkFrame(Frames.terminated(stream), 4, stream, new byte[] {69, 0});
+        checkFrame(Frames.healthCheckAnswer(stream, lastAnswer), 32, stream,
+                new byte[] {(byte) (lastAnswer ? 79 : 69), 0});
+        checkFrame(Frames.goAway(), 64, 0, new byte[0]);
     }
 
-    private static void same(byte[] frame, int type, int stream, byte[] payload) {
-        ByteArrayOutputStream wanted = new ByteArrayOutputStream();
+    private static void checkFrame(byte[] frame, int type, int stream, byte[] payload) {
+        ByteArrayOutputStream expected = new ByteArrayOutputStream();
         for (int number : new int[] {5 + payload.length, stream}) {
             for (int shift = 24; shift >= 0; shift -= 8) {
-                wanted.write(number >>> shift);
+                expected.write(number >>> shift);
             }
-            if (wanted.size() == 4) {
-                wanted.write(type);
+            if (expected.size() == 4) {
+                expected.write(type);
             }
         }
-        wanted.writeBytes(payload);
-        if (!Arrays.equals(frame, wanted.toByteArray())) {
-            throw new Finding("a frame of type " + type + " is not written as the page says");
+        expected.writeBytes(payload);
+        if (!Arrays.equals(frame, expected.toByteArray())) {
+            throw new InvariantViolation("a frame of type " + type + " is not written as the page says");
         }
     }
 
@@ -276,43 +280,45 @@
 
     /** Frames taken apart and put together again, some of them changed inside and with their length set right. */
     @Override
-    public byte[] mutate(byte[] input, SplittableRandom chance) {
+    public byte[] mutate(byte[] input, SplittableRandom random) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        int at = 0;
+        int offset = 0;
         boolean changed = false;
-        while (input.length - at >= 9 && out.size() < 3_000) {
-            int length = (input[at] & 0xff) << 24 | (input[at + 1] & 0xff) << 16 | (input[at + 2] & 0xff) << 8
-                    | input[at + 3] & 0xff;
-            if (length < 5 || length > input.length - at - 4) {
+        while (input.length - offset >= 9 && out.size() < 3_000) {
+            int length = (input[offset] & 0xff) << 24 | (input[offset + 1] & 0xff) << 16 | (input[offset
+                    + 2] & 0xff) << 8
+                    | input[offset + 3] & 0xff;
+            if (length < 5 || length > input.length - offset - 4) {
                 break;
             }
-            byte[] payload = Arrays.copyOfRange(input, at + 9, at + 4 + length);
-            int type = input[at + 4];
-            int stream = chance.nextInt(4);
-            switch (chance.nextInt(6)) {
-                case 0 -> payload = Arrays.copyOf(payload, chance.nextInt(payload.length + 1));
+            byte[] payload = Arrays.copyOfRange(input, offset + 9, offset + 4 + length);
+            int type = input[offset + 4];
+            int stream = random.nextInt(4);
+            switch (random.nextInt(6)) {
+                case 0 -> payload = Arrays.copyOf(payload, random.nextInt(payload.length + 1));
                 case 1 -> {
                     if (payload.length > 0) {
-                        payload[chance.nextInt(payload.length)] = (byte) chance.nextInt();
+                        payload[random.nextInt(payload.length)] = (byte) random.nextInt();
                     }
                 }
-                case 2 -> type = new int[] {2, 16, 4, 64, 255}[chance.nextInt(5)];
-                case 3 -> payload = Arrays.copyOf(payload, payload.length + chance.nextInt(300));
+                case 2 -> type = new int[] {2, 16, 4, 64, 255}[random.nextInt(5)];
+                case 3 -> payload = Arrays.copyOf(payload, payload.length + random.nextInt(300));
                 default -> {
                     // Kept as it is.
                 }
             }
             byte[] frame = vetchrill.standin.StubFrames.frame(type & 0xff, stream, payload);
-            if (chance.nextInt(8) == 0) {
+            if (random.nextInt(8) == 0) {
                 // A length that lies by little, or about as much as it may.
-                int lie = new int[] {frame.length - 5, frame.length - 3, 4, 5, 262_144, 262_145}[chance.nextInt(6)];
+                int falseLength = new int[] {frame.length - 5, frame.length - 3, 4, 5, 262_144,
+                        262_145}[random.nextInt(6)];
                 for (int i = 0; i < 4; i++) {
-                    frame[i] = (byte) (lie >>> 24 - 8 * i);
+                    frame[i] = (byte) (falseLength >>> 24 - 8 * i);
                 }
             }
             out.writeBytes(frame);
             changed = true;
-            at += 4 + length;
+            offset += 4 + length;
         }
         return changed ? out.toByteArray() : null;
     }
--- a/fuzz/src/main/java/vetchrill/fuzz/targets/MembersTarget.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/targets/MembersTarget.java
@@ -3,21 +3,21 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
-import vetchrill.fuzz.Draws;
-import vetchrill.fuzz.Finding;
-import vetchrill.fuzz.Scripts;
+import vetchrill.fuzz.FuzzedDataProvider;
+import vetchrill.fuzz.InvariantViolation;
+import vetchrill.fuzz.ScriptFormat;
 import vetchrill.fuzz.Target;
 import vetchrill.members.SwimMembership;
 import vetchrill.members.MembershipConfig;
-import vetchrill.peersim.MembersWorld;
+import vetchrill.peersim.MembershipSimulation;
 
 /** A small fleet whose instances hear each other: an octet for its size, eight of seed, then steps of four. */
 public final class MembersTarget implements Target {
-    private static final MembershipConfig PACE = new MembershipConfig(5_000, 1_500, 3, 4, 4, 30_000);
-    private static final int HEAD = 9;
-    private static final int STEP = 4;
-    private static final int MOST_STEPS = 40;
-    private static final Scripts SCRIPTS = new Scripts(HEAD, STEP, MOST_STEPS);
+    private static final MembershipConfig CONFIG = new MembershipConfig(5_000, 1_500, 3, 4, 4, 30_000);
+    private static final int HEADER_BYTES = 9;
+    private static final int STEP_BYTES = 4;
+    private static final int MAX_STEPS = 40;
+    private static final ScriptFormat SCRIPT_FORMAT = new ScriptFormat(HEADER_BYTES, STEP_BYTES, MAX_STEPS);
 
     @Override
     public String name() {
@@ -32,17 +32,19 @@
     @Override
     public void run(byte[] input) {
         long seed = 0;
-        for (int i = 1; i < HEAD && i < input.length; i++) {
+        for (int i = 1; i < HEADER_BYTES && i < input.length; i++) {
             seed = seed << 8 | input[i] & 0xff;
         }
         int size = 3 + (input.length > 0 ? (input[0] & 0xff) % 5 : 0);
-        int end = Math.min(input.length, HEAD + STEP * MOST_STEPS);
+        int end = Math.min(input.length, HEADER_BYTES + STEP_BYTES * MAX_STEPS);
         try {
-            MembersWorld world = new MembersWorld(size, PACE, false, seed);
-            world.until(4 * PACE.syncPeriod());
-            Draws draws = new Draws(input.length <= HEAD ? new byte[0] : Arrays.copyOfRange(input, HEAD, end));
-            while (!draws.over()) {
-                step(world, size, draws.below(16), draws.octet() % size, draws.octet(), draws.octet());
+            MembershipSimulation world = new MembershipSimulation(size, CONFIG, false, seed);
+            world.advanceTo(4 * CONFIG.syncPeriod());
+            FuzzedDataProvider script = new FuzzedDataProvider(input.length <= HEADER_BYTES ? new byte[0]
+                    : Arrays.copyOfRange(input, HEADER_BYTES, end));
+            while (!script.isExhausted()) {
+                applyStep(world, size, script.nextInt(16), script.nextUnsignedByte() % size, script.nextUnsignedByte(),
+                        script.nextUnsignedByte());
             }
             world.heal();
             for (int i = 0; i < size; i++) {
@@ -51,48 +53,48 @@
                     world.start(i, 1);
                 }
             }
-            world.until(world.settles());
-            world.settled();
-        } catch (MembersWorld.Broken e) {
-            throw new Finding(e.getMessage());
+            world.advanceTo(world.convergenceDeadline());
+            world.checkConverged();
+        } catch (MembershipSimulation.InvariantViolation e) {
+            throw new InvariantViolation(e.getMessage());
         }
     }
 
-    private static void step(MembersWorld world, int size, int what, int at, int b, int c) {
-        int other = (at + 1 + b % (size - 1)) % size;
-        switch (what) {
-            case 0 -> world.kill(at);
+    private static void applyStep(MembershipSimulation world, int size, int kind, int index, int b, int c) {
+        int other = (index + 1 + b % (size - 1)) % size;
+        switch (kind) {
+            case 0 -> world.kill(index);
             case 1 -> {
-                if (!world.isUp(at)) {
-                    world.start(at, 1);
+                if (!world.isUp(index)) {
+                    world.start(index, 1);
                 }
             }
             case 2 -> {
-                world.kill(at);
-                world.start(at, 1);
+                world.kill(index);
+                world.start(index, 1);
             }
             // Beside one that is not dead.
-            case 3 -> world.start(at, 1);
-            case 4, 5 -> world.pause(at, 1_000L * c);
-            case 6 -> world.cut(at, other, true);
-            case 7 -> world.cut(at, other, false);
-            case 8 -> world.part(size, b ^ c);
-            case 9 -> world.loss = b % 6 / 10.0;
-            case 10 -> world.doubled = b % 4 / 4.0;
-            case 11 -> world.longestDelay = 2 + 8L * b;
-            case 12 -> world.leave(at);
+            case 3 -> world.start(index, 1);
+            case 4, 5 -> world.pause(index, 1_000L * c);
+            case 6 -> world.setLinkCut(index, other, true);
+            case 7 -> world.setLinkCut(index, other, false);
+            case 8 -> world.partition(size, b ^ c);
+            case 9 -> world.lossRatio = b % 6 / 10.0;
+            case 10 -> world.duplicateRatio = b % 4 / 4.0;
+            case 11 -> world.maxDelayTenthsMs = 2 + 8L * b;
+            case 12 -> world.leave(index);
             case 13 -> world.heal();
-            default -> world.until(world.now() + 200L * b + (what == 15 ? 3_000L * c : 0));
+            default -> world.advanceTo(world.now() + 200L * b + (kind == 15 ? 3_000L * c : 0));
         }
     }
 
     @Override
     public List<byte[]> seeds() {
-        return SCRIPTS.seeds(200, 10);
+        return SCRIPT_FORMAT.seeds(200, 10);
     }
 
     @Override
-    public byte[] mutate(byte[] input, SplittableRandom chance) {
-        return SCRIPTS.mutate(input, chance);
+    public byte[] mutate(byte[] input, SplittableRandom random) {
+        return SCRIPT_FORMAT.mutate(input, random);
     }
 }
--- a/fuzz/src/main/java/vetchrill/fuzz/targets/ModuleTarget.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/targets/ModuleTarget.java
@@ -10,8 +10,8 @@
 import vetchrill.control.Exchange.Outcome;
 import vetchrill.control.Host;
 import vetchrill.control.OverloadController;
-import vetchrill.fuzz.Draws;
-import vetchrill.fuzz.Finding;
+import vetchrill.fuzz.FuzzedDataProvider;
+import vetchrill.fuzz.InvariantViolation;
 import vetchrill.fuzz.Target;
 
 /**
@@ -19,10 +19,10 @@
  * contract of its host. The watch knows exchanges by what was said of them alone and shares no code with the module.
  */
 public final class ModuleTarget implements Target {
-    private static final int MS = 10;
+    private static final int TENTHS_PER_MS = 10;
     /** Decisions after one input past which the module is taken to go round in circles. */
-    private static final int MOST_DECISIONS = 20_000;
-    private static final int MOST_OPEN = 400;
+    private static final int MAX_DECISIONS = 20_000;
+    private static final int MAX_OPEN_EXCHANGES = 400;
 
     @Override
     public String name() {
@@ -39,9 +39,9 @@
         List<byte[]> seeds = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             byte[] seed = new byte[200];
-            SplittableRandom chance = new SplittableRandom(i);
+            SplittableRandom random = new SplittableRandom(i);
             for (int j = 0; j < seed.length; j++) {
-                seed[j] = (byte) chance.nextInt();
+                seed[j] = (byte) random.nextInt();
             }
             seeds.add(seed);
         }
@@ -50,479 +50,483 @@
 
     /** Steps are of five octets: one is dropped, doubled, or put elsewhere. */
     @Override
-    public byte[] mutate(byte[] input, SplittableRandom chance) {
-        int steps = (input.length - Watch.HEAD) / Watch.STEP;
-        if (steps < 2) {
+    public byte[] mutate(byte[] input, SplittableRandom random) {
+        int stepCount = (input.length - OracleHost.HEADER_BYTES) / OracleHost.STEP_BYTES;
+        if (stepCount < 2) {
             return null;
         }
         byte[] out = input.clone();
-        int from = Watch.HEAD + Watch.STEP * chance.nextInt(steps);
-        int to = Watch.HEAD + Watch.STEP * chance.nextInt(steps);
-        System.arraycopy(input, from, out, to, Watch.STEP);
-        if (chance.nextInt(3) == 0) {
-            out[to] = (byte) chance.nextInt();
+        int from = OracleHost.HEADER_BYTES + OracleHost.STEP_BYTES * random.nextInt(stepCount);
+        int to = OracleHost.HEADER_BYTES + OracleHost.STEP_BYTES * random.nextInt(stepCount);
+        System.arraycopy(input, from, out, to, OracleHost.STEP_BYTES);
+        if (random.nextInt(3) == 0) {
+            out[to] = (byte) random.nextInt();
         }
         return out;
     }
 
     @Override
     public void run(byte[] input) {
-        new Watch(new Draws(input)).play();
+        new OracleHost(new FuzzedDataProvider(input)).run();
     }
 
-    private static final class Seen extends Exchange {
-        int answers;
-        int begun;
+    private static final class TrackedExchange extends Exchange {
+        int answerCount;
+        int runCount;
         boolean running;
         boolean interrupted;
-        boolean atCall;
-        boolean calling;
-        boolean left;
+        boolean awaitingCall;
+        boolean callInProgress;
+        boolean callerDisconnected;
         boolean replaying;
-        boolean remembered;
+        boolean keyStored;
         boolean paused;
-        boolean ended;
-        long due;
-        boolean ranBefore;
+        boolean finished;
+        long answerDeadline;
+        boolean originalRan;
     }
 
-    private static final class Watch implements Host {
-        static final int HEAD = 24;
-        static final int STEP = 5;
-        private final Draws draws;
-        private final Deployment told = new Deployment();
-        private final List<Seen> all = new ArrayList<>();
-        private OverloadController module;
+    private static final class OracleHost implements Host {
+        static final int HEADER_BYTES = 24;
+        static final int STEP_BYTES = 5;
+        private final FuzzedDataProvider data;
+        private final Deployment deployment = new Deployment();
+        private final List<TrackedExchange> exchanges = new ArrayList<>();
+        private OverloadController controller;
         private long now = 1_000_000;
-        private long timerAt = Long.MAX_VALUE;
-        private long leftAt;
+        private long nextTickAt = Long.MAX_VALUE;
+        private long drainStartedAt;
         private long stopAt;
-        private int inHand;
-
-        Watch(Draws draws) {
-            this.draws = draws;
-        }
-
-        void play() {
-            long seed = deployment();
-            module = new OverloadController(told, seed, now);
-            decide();
-            while (!draws.over() && (stopAt == 0 || now < stopAt)) {
-                step();
-                decide();
-                check();
-            }
-            settle();
-        }
-
-        private long deployment() {
-            long seed = draws.octet();
-            told.groups = new ArrayList<>();
-            int groups = 1 + draws.below(3);
-            told.cores = 1 + draws.below(4);
-            told.callerCount = 1 + draws.below(20);
-            told.serverCount = 1 + draws.below(30);
-            told.memoryKb = draws.span(200, 50_000);
-            told.runMemoryFactor = 1 + draws.below(6);
-            told.dedupKeyKb = draws.below(20);
-            told.callerIdleTime = draws.span(100 * MS, 20_000 * MS);
-            told.hostQuantum = 5 * MS;
-            told.preemption = Deployment.Preemption.values()[draws.below(3)];
-            told.loadHint = Deployment.LoadHint.values()[draws.below(3)];
-            int flags = draws.octet();
-            told.sharedDependency = (flags & 1) == 1;
-            told.discoveryFollowsHealth = (flags & 2) == 2;
-            told.startsCold = (flags & 4) == 4;
-            told.backendTier = (flags & 8) == 8;
-            told.callersMarkRetries = (flags & 16) == 16;
-            told.benefitScalesWithWork = (flags & 32) == 32;
-            told.callQuota = draws.below(8) / 2.0;
-            told.callQuotaWindow = draws.span(0, 2_000 * MS);
-            told.abandonedCallLinger = draws.span(0, 1_000 * MS);
-            told.coldSpeedRatio = 0.2 + draws.below(9) / 10.0;
-            told.warmUpTime = draws.span(0, 10_000 * MS);
-            told.sustainableRunsPerCore = 2 + draws.below(9);
-            told.drainGrace = draws.span(0, 3_000 * MS);
-            told.maxRetryAfter = draws.span(0, 5_000 * MS);
-            told.allowancePerSecond = new double[] {draws.below(200), 20};
-            told.benefitBeyondShare = 0.1;
+        private int callsInProgress;
+
+        OracleHost(FuzzedDataProvider data) {
+            this.data = data;
+        }
+
+        void run() {
+            long seed = decodeDeployment();
+            controller = new OverloadController(deployment, seed, now);
+            runDecisions();
+            while (!data.isExhausted() && (stopAt == 0 || now < stopAt)) {
+                applyStep();
+                runDecisions();
+                checkDeadlines();
+            }
+            finishAll();
+        }
+
+        private long decodeDeployment() {
+            long seed = data.nextUnsignedByte();
+            deployment.groups = new ArrayList<>();
+            int groups = 1 + data.nextInt(3);
+            deployment.cores = 1 + data.nextInt(4);
+            deployment.callerCount = 1 + data.nextInt(20);
+            deployment.instanceCount = 1 + data.nextInt(30);
+            deployment.memoryKb = data.nextLong(200, 50_000);
+            deployment.runMemoryFactor = 1 + data.nextInt(6);
+            deployment.dedupKeyKb = data.nextInt(20);
+            deployment.callerIdleTime = data.nextLong(100 * TENTHS_PER_MS, 20_000 * TENTHS_PER_MS);
+            deployment.hostQuantum = 5 * TENTHS_PER_MS;
+            deployment.preemption = Deployment.Preemption.values()[data.nextInt(3)];
+            deployment.loadHint = Deployment.LoadHint.values()[data.nextInt(3)];
+            int flags = data.nextUnsignedByte();
+            deployment.sharedDependency = (flags & 1) == 1;
+            deployment.discoveryFollowsHealth = (flags & 2) == 2;
+            deployment.startsCold = (flags & 4) == 4;
+            deployment.backendTier = (flags & 8) == 8;
+            deployment.callersMarkRetries = (flags & 16) == 16;
+            deployment.benefitScalesWithWork = (flags & 32) == 32;
+            deployment.callQuota = data.nextInt(8) / 2.0;
+            deployment.callQuotaWindow = data.nextLong(0, 2_000 * TENTHS_PER_MS);
+            deployment.abandonedCallLinger = data.nextLong(0, 1_000 * TENTHS_PER_MS);
+            deployment.coldSpeedRatio = 0.2 + data.nextInt(9) / 10.0;
+            deployment.warmUpTime = data.nextLong(0, 10_000 * TENTHS_PER_MS);
+            deployment.sustainableRunsPerCore = 2 + data.nextInt(9);
+            deployment.drainGrace = data.nextLong(0, 3_000 * TENTHS_PER_MS);
+            deployment.maxRetryAfter = data.nextLong(0, 5_000 * TENTHS_PER_MS);
+            deployment.allowancePerSecond = new double[] {data.nextInt(200), 20};
+            deployment.benefitBeyondShare = 0.1;
             for (int i = 0; i < groups; i++) {
                 EndpointGroup group = new EndpointGroup();
                 group.effect = Effect.values()[(int) (seed + i) % 3];
-                group.sloTime = (300 + 400L * i) * MS;
-                group.asyncTimeout = group.sloTime * 2 + 600 * MS;
+                group.sloTime = (300 + 400L * i) * TENTHS_PER_MS;
+                group.asyncTimeout = group.sloTime * 2 + 600 * TENTHS_PER_MS;
                 group.benefit = 1 + i;
                 group.lateBenefitShare = i * 0.2;
-                group.dedupWindow = 5_000 * MS;
+                group.dedupWindow = 5_000 * TENTHS_PER_MS;
                 group.mayCall = i != 1;
                 group.benefitWithoutCall = i == 2 ? 0.5 : 0;
-                told.groups.add(group);
+                deployment.groups.add(group);
             }
             return seed;
         }
 
-        private void step() {
-            int what = draws.below(16);
-            int which = draws.octet();
-            switch (what) {
-                case 0, 1, 2, 3 -> arrive(which);
-                case 4, 5, 6 -> end(which);
-                case 7 -> wantCall(which);
-                case 8 -> endCall(which);
-                case 9 -> leave(which);
+        private void applyStep() {
+            int kind = data.nextInt(16);
+            int selector = data.nextUnsignedByte();
+            switch (kind) {
+                case 0, 1, 2, 3 -> arrive(selector);
+                case 4, 5, 6 -> endRun(selector);
+                case 7 -> requestCall(selector);
+                case 8 -> endCall(selector);
+                case 9 -> disconnectCaller(selector);
                 case 10 -> {
-                    if (leftAt == 0 && which % 4 == 0) {
-                        leftAt = now;
-                        stopAt = now + told.drainGrace + draws.span(400 * MS, 6_000 * MS);
-                        module.startDrain(stopAt, now);
+                    if (drainStartedAt == 0 && selector % 4 == 0) {
+                        drainStartedAt = now;
+                        stopAt = now + deployment.drainGrace + data.nextLong(400 * TENTHS_PER_MS,
+                                6_000 * TENTHS_PER_MS);
+                        controller.startDrain(stopAt, now);
                         return;
                     }
-                    pass(which);
+                    advanceTime(selector);
                 }
-                default -> pass(which);
+                default -> advanceTime(selector);
             }
-            draws.octet();
+            data.nextUnsignedByte();
         }
 
-        private List<Seen> those(java.util.function.Predicate<Seen> which) {
-            return all.stream().filter(which).toList();
+        private List<TrackedExchange> matching(java.util.function.Predicate<TrackedExchange> condition) {
+            return exchanges.stream().filter(condition).toList();
         }
 
-        private Seen one(int which, java.util.function.Predicate<Seen> of) {
-            List<Seen> found = those(of);
-            return found.isEmpty() ? null : found.get(which % found.size());
+        private TrackedExchange pickMatching(int selector, java.util.function.Predicate<TrackedExchange> condition) {
+            List<TrackedExchange> candidates = matching(condition);
+            return candidates.isEmpty() ? null : candidates.get(selector % candidates.size());
         }
 
-        private void arrive(int which) {
-            if (those(ex -> !ex.ended).size() > MOST_OPEN) {
+        private void arrive(int selector) {
+            if (matching(ex -> !ex.finished).size() > MAX_OPEN_EXCHANGES) {
                 return;
             }
-            int many = which % 7 == 0 ? 12 : 1;
-            for (int i = 0; i < many; i++) {
-                Seen ex = new Seen();
-                ex.group = told.groups.get(which % told.groups.size());
-                ex.customer = which % 3;
-                ex.arrivedAt = now - (which > 200 ? (which - 200L) * 20 * MS : 0);
-                ex.sizeKb = 1 + which % 40;
-                ex.declaredCoreTime = which % 5 == 0 ? 100L * MS : 0;
-                ex.retry = told.callersMarkRetries && which % 2 == 0;
-                ex.callerDeadline = which % 11 == 0 ? ex.arrivedAt + 700 * MS : 0;
-                ex.due = ex.callerDeadline > 0 ? ex.callerDeadline : ex.arrivedAt + ex.group.asyncTimeout;
-                if (ex.group.effect == Effect.DEDUPLICATED && which % 3 == 0) {
-                    Seen prior = one(which, each -> each.remembered && each.group == ex.group);
-                    if (prior != null) {
+            int count = selector % 7 == 0 ? 12 : 1;
+            for (int i = 0; i < count; i++) {
+                TrackedExchange ex = new TrackedExchange();
+                ex.group = deployment.groups.get(selector % deployment.groups.size());
+                ex.customer = selector % 3;
+                ex.arrivedAt = now - (selector > 200 ? (selector - 200L) * 20 * TENTHS_PER_MS : 0);
+                ex.sizeKb = 1 + selector % 40;
+                ex.declaredCoreTime = selector % 5 == 0 ? 100L * TENTHS_PER_MS : 0;
+                ex.retry = deployment.callersMarkRetries && selector % 2 == 0;
+                ex.callerDeadline = selector % 11 == 0 ? ex.arrivedAt + 700 * TENTHS_PER_MS : 0;
+                ex.answerDeadline = ex.callerDeadline > 0 ? ex.callerDeadline : ex.arrivedAt + ex.group.asyncTimeout;
+                if (ex.group.effect == Effect.DEDUPLICATED && selector % 3 == 0) {
+                    TrackedExchange original = pickMatching(selector, each -> each.keyStored && each.group == ex.group);
+                    if (original != null) {
                         ex.repeat = true;
-                        ex.original = prior;
-                        ex.ranBefore = prior.begun > 0 || prior.ranBefore;
+                        ex.original = original;
+                        ex.originalRan = original.runCount > 0 || original.originalRan;
                     }
                 }
-                all.add(ex);
-                module.onArrival(ex, now);
+                exchanges.add(ex);
+                controller.onArrival(ex, now);
             }
         }
 
-        private void end(int which) {
-            Seen ex = one(which, each -> !each.ended && (each.running || each.replaying));
+        private void endRun(int selector) {
+            TrackedExchange ex = pickMatching(selector, each -> !each.finished && (each.running || each.replaying));
             if (ex == null) {
                 return;
             }
-            Outcome outcome = switch (which % 8) {
+            Outcome outcome = switch (selector % 8) {
                 case 0 -> Outcome.ERRORED;
                 case 1 -> Outcome.CONNECTION_LOST;
                 case 2 -> ex.interrupted ? Outcome.PREEMPTED : Outcome.COMPLETED;
-                case 3 -> ex.answers > 0 || ex.left ? Outcome.NOT_STARTED : Outcome.COMPLETED;
+                case 3 -> ex.answerCount > 0 || ex.callerDisconnected ? Outcome.NOT_STARTED : Outcome.COMPLETED;
                 default -> ex.interrupted ? Outcome.PREEMPTED : Outcome.COMPLETED;
             };
-            over(ex, outcome, 1 + which * MS);
+            reportRunEnd(ex, outcome, 1 + selector * TENTHS_PER_MS);
         }
 
-        private void over(Seen ex, Outcome outcome, long took) {
+        private void reportRunEnd(TrackedExchange ex, Outcome outcome, long duration) {
             ex.running = false;
             ex.replaying = false;
-            boolean stopped = outcome == Outcome.PREEMPTED;
-            boolean owed = ex.answers == 0 && !ex.left;
+            boolean preempted = outcome == Outcome.PREEMPTED;
+            boolean unanswered = ex.answerCount == 0 && !ex.callerDisconnected;
             ex.interrupted = false;
-            ex.paused = stopped && owed && told.preemption == Deployment.Preemption.PAUSE;
-            ex.ended = !(stopped && owed);
-            module.onRunEnded(ex, outcome, took, now);
-            if (!stopped && owed) {
+            ex.paused = preempted && unanswered && deployment.preemption == Deployment.Preemption.PAUSE;
+            ex.finished = !(preempted && unanswered);
+            controller.onRunEnded(ex, outcome, duration, now);
+            if (!preempted && unanswered) {
                 // The owner answers with what the run came to.
-                ex.answers++;
+                ex.answerCount++;
             }
         }
 
-        private void wantCall(int which) {
-            Seen ex = one(which, each -> each.running && !each.interrupted && each.group.mayCall);
+        private void requestCall(int selector) {
+            TrackedExchange ex = pickMatching(selector,
+                    each -> each.running && !each.interrupted && each.group.mayCall);
             if (ex != null) {
                 ex.running = false;
-                ex.atCall = true;
-                module.onCallRequested(ex, now);
+                ex.awaitingCall = true;
+                controller.onCallRequested(ex, now);
             }
         }
 
-        private void endCall(int which) {
-            Seen ex = one(which, each -> each.calling);
+        private void endCall(int selector) {
+            TrackedExchange ex = pickMatching(selector, each -> each.callInProgress);
             if (ex == null) {
                 return;
             }
-            Outcome[] ways = {Outcome.COMPLETED, Outcome.COMPLETED, Outcome.CALLEE_SATURATED, Outcome.TIMED_OUT,
+            Outcome[] outcomes = {Outcome.COMPLETED, Outcome.COMPLETED, Outcome.CALLEE_SATURATED, Outcome.TIMED_OUT,
                     Outcome.CONNECTION_REFUSED,
                 Outcome.ERRORED, Outcome.CONNECTION_LOST};
-            Outcome outcome = ways[which % ways.length];
-            ex.calling = false;
-            inHand--;
+            Outcome outcome = outcomes[selector % outcomes.length];
+            ex.callInProgress = false;
+            callsInProgress--;
             ex.running = outcome == Outcome.COMPLETED;
-            ex.atCall = !ex.running;
-            module.onCallEnded(ex, outcome, which * MS, now);
+            ex.awaitingCall = !ex.running;
+            controller.onCallEnded(ex, outcome, selector * TENTHS_PER_MS, now);
         }
 
-        private void leave(int which) {
-            Seen ex = one(which, each -> !each.ended && each.answers == 0 && !each.left);
+        private void disconnectCaller(int selector) {
+            TrackedExchange ex = pickMatching(selector,
+                    each -> !each.finished && each.answerCount == 0 && !each.callerDisconnected);
             if (ex != null) {
-                ex.left = true;
-                if (!ex.running && !ex.atCall && !ex.calling) {
-                    ex.ended = true;
+                ex.callerDisconnected = true;
+                if (!ex.running && !ex.awaitingCall && !ex.callInProgress) {
+                    ex.finished = true;
                     ex.replaying = false;
                 }
-                module.onCallerDisconnected(ex, now);
+                controller.onCallerDisconnected(ex, now);
             }
         }
 
         /** Time passes to the next look at the most, which comes a little late at times. */
-        private void pass(int which) {
-            long next = now + 1 + which * (long) which / 8;
-            if (timerAt <= next) {
-                now = Math.max(now, timerAt + (which % 9 == 0 ? 80 * MS : 0));
-                timerAt = Long.MAX_VALUE;
-                double load = draws.octet() / 128.0;
-                module.onTick(Math.min(1, load), load * told.cores * 2, draws.octet(), now);
+        private void advanceTime(int selector) {
+            long later = now + 1 + selector * (long) selector / 8;
+            if (nextTickAt <= later) {
+                now = Math.max(now, nextTickAt + (selector % 9 == 0 ? 80 * TENTHS_PER_MS : 0));
+                nextTickAt = Long.MAX_VALUE;
+                double load = data.nextUnsignedByte() / 128.0;
+                controller.onTick(Math.min(1, load), load * deployment.cores * 2, data.nextUnsignedByte(), now);
             } else {
-                now = next;
+                now = later;
             }
         }
 
-        private void decide() {
+        private void runDecisions() {
             int decisions = 0;
-            while (module.next(this)) {
-                if (++decisions > MOST_DECISIONS) {
-                    throw new Finding("decisions go on without an end");
+            while (controller.next(this)) {
+                if (++decisions > MAX_DECISIONS) {
+                    throw new InvariantViolation("decisions go on without an end");
                 }
             }
         }
 
-        private void check() {
-            if (timerAt == Long.MAX_VALUE) {
-                throw new Finding("no look is asked for any more");
+        private void checkDeadlines() {
+            if (nextTickAt == Long.MAX_VALUE) {
+                throw new InvariantViolation("no look is asked for any more");
             }
-            for (Seen ex : all) {
-                boolean owed = ex.answers == 0 && !ex.left;
-                if (owed && now > ex.due && now > ex.arrivedAt) {
-                    throw new Finding("an exchange is past its due time without an answer");
+            for (TrackedExchange ex : exchanges) {
+                boolean unanswered = ex.answerCount == 0 && !ex.callerDisconnected;
+                if (unanswered && now > ex.answerDeadline && now > ex.arrivedAt) {
+                    throw new InvariantViolation("an exchange is past its due time without an answer");
                 }
-                if (owed && stopAt > 0 && now >= stopAt) {
-                    throw new Finding("an exchange has no answer at the stop");
+                if (unanswered && stopAt > 0 && now >= stopAt) {
+                    throw new InvariantViolation("an exchange has no answer at the stop");
                 }
             }
         }
 
         /** All that runs ends, time goes on: nothing may be left. */
-        private void settle() {
-            for (int i = 0; i < 200 && !those(ex -> !ex.ended).isEmpty(); i++) {
+        private void finishAll() {
+            for (int i = 0; i < 200 && !matching(ex -> !ex.finished).isEmpty(); i++) {
                 if (stopAt > 0 && now >= stopAt) {
                     return;
                 }
-                for (Seen ex : those(each -> each.calling)) {
-                    ex.calling = false;
-                    inHand--;
+                for (TrackedExchange ex : matching(each -> each.callInProgress)) {
+                    ex.callInProgress = false;
+                    callsInProgress--;
                     ex.running = true;
-                    module.onCallEnded(ex, Outcome.COMPLETED, MS, now);
-                    decide();
+                    controller.onCallEnded(ex, Outcome.COMPLETED, TENTHS_PER_MS, now);
+                    runDecisions();
                 }
-                for (Seen ex : those(each -> each.running || each.replaying)) {
-                    over(ex, ex.interrupted ? Outcome.PREEMPTED : Outcome.COMPLETED, MS);
-                    decide();
+                for (TrackedExchange ex : matching(each -> each.running || each.replaying)) {
+                    reportRunEnd(ex, ex.interrupted ? Outcome.PREEMPTED : Outcome.COMPLETED, TENTHS_PER_MS);
+                    runDecisions();
                 }
-                for (Seen ex : those(each -> each.atCall && (each.answers > 0 || each.left))) {
-                    ex.atCall = false;
-                    over(ex, Outcome.CONNECTION_LOST, MS);
-                    decide();
+                for (TrackedExchange ex
+                        : matching(each -> each.awaitingCall && (each.answerCount > 0 || each.callerDisconnected))) {
+                    ex.awaitingCall = false;
+                    reportRunEnd(ex, Outcome.CONNECTION_LOST, TENTHS_PER_MS);
+                    runDecisions();
                 }
-                now = Math.max(now, timerAt);
-                timerAt = Long.MAX_VALUE;
-                module.onTick(0.1, 0, 0, now);
-                decide();
-                check();
+                now = Math.max(now, nextTickAt);
+                nextTickAt = Long.MAX_VALUE;
+                controller.onTick(0.1, 0, 0, now);
+                runDecisions();
+                checkDeadlines();
             }
-            if (!those(ex -> !ex.ended).isEmpty()) {
-                throw new Finding("an exchange never comes to its end");
+            if (!matching(ex -> !ex.finished).isEmpty()) {
+                throw new InvariantViolation("an exchange never comes to its end");
             }
         }
 
-        private Seen of(Exchange ex) {
-            return (Seen) ex;
+        private TrackedExchange tracked(Exchange ex) {
+            return (TrackedExchange) ex;
         }
 
-        private void answer(Seen ex, String how) {
-            if (ex.left) {
-                throw new Finding(how + " after its caller had left");
+        private void recordAnswer(TrackedExchange ex, String answerName) {
+            if (ex.callerDisconnected) {
+                throw new InvariantViolation(answerName + " after its caller had left");
             }
-            if (ex.answers++ > 0) {
-                throw new Finding(how + " after an answer");
+            if (ex.answerCount++ > 0) {
+                throw new InvariantViolation(answerName + " after an answer");
             }
         }
 
-        private int running() {
-            return those(ex -> ex.running).size();
+        private int runningCount() {
+            return matching(ex -> ex.running).size();
         }
 
         @Override
         public void begin(Exchange exchange) {
-            Seen ex = of(exchange);
-            if (ex.running || ex.atCall || ex.calling || ex.replaying || ex.ended) {
-                throw new Finding("something is begun that is not held");
+            TrackedExchange ex = tracked(exchange);
+            if (ex.running || ex.awaitingCall || ex.callInProgress || ex.replaying || ex.finished) {
+                throw new InvariantViolation("something is begun that is not held");
             }
-            if (ex.answers > 0 || ex.left) {
-                throw new Finding("something is begun that is answered");
+            if (ex.answerCount > 0 || ex.callerDisconnected) {
+                throw new InvariantViolation("something is begun that is answered");
             }
-            if (ex.group.effect != Effect.REPEATABLE && ex.begun > 0 && !ex.paused) {
-                throw new Finding("an effect happens twice");
+            if (ex.group.effect != Effect.REPEATABLE && ex.runCount > 0 && !ex.paused) {
+                throw new InvariantViolation("an effect happens twice");
             }
-            if (ex.repeat && ex.ranBefore) {
-                throw new Finding("a repeat is run");
+            if (ex.repeat && ex.originalRan) {
+                throw new InvariantViolation("a repeat is run");
             }
-            if (leftAt > 0 && ex.arrivedAt > leftAt + told.drainGrace) {
-                throw new Finding("something is begun that arrived past the grace");
+            if (drainStartedAt > 0 && ex.arrivedAt > drainStartedAt + deployment.drainGrace) {
+                throw new InvariantViolation("something is begun that arrived past the grace");
             }
-            if (running() + 1 > Math.max(1, told.sustainableRunsPerCore * told.cores)) {
-                throw new Finding("more is begun than the cores survive");
+            if (runningCount() + 1 > Math.max(1, deployment.sustainableRunsPerCore * deployment.cores)) {
+                throw new InvariantViolation("more is begun than the cores survive");
             }
-            ex.begun++;
+            ex.runCount++;
             ex.running = true;
             ex.paused = false;
-            double memory = 0;
-            for (Seen each : all) {
-                boolean grown = each.running || each.atCall || each.calling || each.paused;
-                memory += each.ended ? 0 : grown ? each.sizeKb * told.runMemoryFactor : each.sizeKb;
+            double usedKb = 0;
+            for (TrackedExchange each : exchanges) {
+                boolean hasRunMemory = each.running || each.awaitingCall || each.callInProgress || each.paused;
+                usedKb += each.finished ? 0 : hasRunMemory ? each.sizeKb * deployment.runMemoryFactor : each.sizeKb;
             }
-            if (memory > told.memoryKb) {
-                throw new Finding("more is begun than the memory holds");
+            if (usedKb > deployment.memoryKb) {
+                throw new InvariantViolation("more is begun than the memory holds");
             }
         }
 
         @Override
-        public void reject(Exchange exchange, long away, boolean giveUp) {
-            Seen ex = of(exchange);
-            if (ex.running || ex.atCall || ex.calling) {
-                throw new Finding("something is denied that runs");
+        public void reject(Exchange exchange, long retryAfter, boolean lastAnswer) {
+            TrackedExchange ex = tracked(exchange);
+            if (ex.running || ex.awaitingCall || ex.callInProgress) {
+                throw new InvariantViolation("something is denied that runs");
             }
-            if (ex.begun > 0 && ex.group.effect != Effect.REPEATABLE) {
-                throw new Finding("something is denied that has run");
+            if (ex.runCount > 0 && ex.group.effect != Effect.REPEATABLE) {
+                throw new InvariantViolation("something is denied that has run");
             }
-            if (away < 0 || away > told.maxRetryAfter) {
-                throw new Finding("advice beyond what is allowed");
+            if (retryAfter < 0 || retryAfter > deployment.maxRetryAfter) {
+                throw new InvariantViolation("advice beyond what is allowed");
             }
-            answer(ex, "a denial");
-            ex.ended = true;
+            recordAnswer(ex, "a denial");
+            ex.finished = true;
         }
 
         @Override
         public void terminate(Exchange exchange) {
-            Seen ex = of(exchange);
-            answer(ex, "an error");
-            ex.ended = !ex.running && !ex.atCall && !ex.calling;
+            TrackedExchange ex = tracked(exchange);
+            recordAnswer(ex, "an error");
+            ex.finished = !ex.running && !ex.awaitingCall && !ex.callInProgress;
             ex.replaying = false;
         }
 
         @Override
         public void interrupt(Exchange exchange) {
-            Seen ex = of(exchange);
-            if (told.preemption == Deployment.Preemption.NONE || !ex.running) {
-                throw new Finding("something is interrupted that can't be");
+            TrackedExchange ex = tracked(exchange);
+            if (deployment.preemption == Deployment.Preemption.NONE || !ex.running) {
+                throw new InvariantViolation("something is interrupted that can't be");
             }
             ex.interrupted = true;
         }
 
         @Override
         public void call(Exchange exchange, long until) {
-            Seen ex = of(exchange);
-            if (!ex.atCall || ex.calling) {
-                throw new Finding("a call is made that nobody wants");
+            TrackedExchange ex = tracked(exchange);
+            if (!ex.awaitingCall || ex.callInProgress) {
+                throw new InvariantViolation("a call is made that nobody wants");
             }
-            if (ex.answers > 0 || ex.left) {
-                throw new Finding("a call is made for what is answered");
+            if (ex.answerCount > 0 || ex.callerDisconnected) {
+                throw new InvariantViolation("a call is made for what is answered");
             }
-            ex.atCall = false;
-            ex.calling = true;
-            inHand++;
-            if (told.sharedDependency && inHand > Math.max(1, told.callQuota)) {
-                throw new Finding("more calls than this server's part");
+            ex.awaitingCall = false;
+            ex.callInProgress = true;
+            callsInProgress++;
+            if (deployment.sharedDependency && callsInProgress > Math.max(1, deployment.callQuota)) {
+                throw new InvariantViolation("more calls than this server's part");
             }
         }
 
         @Override
         public void skipCall(Exchange exchange) {
-            Seen ex = of(exchange);
-            if (!ex.atCall || ex.group.benefitWithoutCall <= 0) {
-                throw new Finding("a call is left out that can't be");
+            TrackedExchange ex = tracked(exchange);
+            if (!ex.awaitingCall || ex.group.benefitWithoutCall <= 0) {
+                throw new InvariantViolation("a call is left out that can't be");
             }
-            ex.atCall = false;
+            ex.awaitingCall = false;
             ex.running = true;
         }
 
         @Override
         public void replay(Exchange exchange) {
-            Seen ex = of(exchange);
-            if (!ex.repeat || ex.begun > 0) {
-                throw new Finding("something is replayed that repeats nothing");
+            TrackedExchange ex = tracked(exchange);
+            if (!ex.repeat || ex.runCount > 0) {
+                throw new InvariantViolation("something is replayed that repeats nothing");
             }
             ex.replaying = true;
         }
 
         @Override
         public void storeDedupKey(Exchange exchange, long span) {
-            Seen ex = of(exchange);
-            if (ex.group.effect != Effect.DEDUPLICATED || ex.remembered || span <= 0) {
-                throw new Finding("something is remembered that needs it not");
+            TrackedExchange ex = tracked(exchange);
+            if (ex.group.effect != Effect.DEDUPLICATED || ex.keyStored || span <= 0) {
+                throw new InvariantViolation("something is remembered that needs it not");
             }
-            ex.remembered = true;
+            ex.keyStored = true;
         }
 
         @Override
         public void dropDedupKey(Exchange exchange) {
-            Seen ex = of(exchange);
-            if (!ex.remembered || ex.begun > 0) {
-                throw new Finding("something is forgotten that must be known");
+            TrackedExchange ex = tracked(exchange);
+            if (!ex.keyStored || ex.runCount > 0) {
+                throw new InvariantViolation("something is forgotten that must be known");
             }
-            ex.remembered = false;
+            ex.keyStored = false;
         }
 
         @Override
         public void setHealth(boolean good) {
-            if (good && leftAt > 0) {
-                throw new Finding("health is good on the way out");
+            if (good && drainStartedAt > 0) {
+                throw new InvariantViolation("health is good on the way out");
             }
         }
 
         @Override
-        public void publishLoadHint(double value) {
-            if (told.loadHint == Deployment.LoadHint.NONE || !(value >= 0 && value < 1e9)) {
-                throw new Finding("a free value that means nothing");
+        public void publishLoadHint(double hint) {
+            if (deployment.loadHint == Deployment.LoadHint.NONE || !(hint >= 0 && hint < 1e9)) {
+                throw new InvariantViolation("a free value that means nothing");
             }
         }
 
         @Override
         public void setIdleTime(long span) {
-            if (span < Math.min(100, told.callerIdleTime) || span > told.callerIdleTime) {
-                throw new Finding("an idle time out of its range");
+            if (span < Math.min(100, deployment.callerIdleTime) || span > deployment.callerIdleTime) {
+                throw new InvariantViolation("an idle time out of its range");
             }
         }
 
         @Override
         public void scheduleTick(long span) {
-            if (timerAt != Long.MAX_VALUE || span <= 0) {
-                throw new Finding("two timers run");
+            if (nextTickAt != Long.MAX_VALUE || span <= 0) {
+                throw new InvariantViolation("two timers run");
             }
-            timerAt = now + span;
+            nextTickAt = now + span;
         }
     }
 }
--- a/fuzz/src/main/java/vetchrill/fuzz/targets/RecoveryTarget.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/targets/RecoveryTarget.java
@@ -4,11 +4,11 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
-import vetchrill.fuzz.Draws;
-import vetchrill.fuzz.Finding;
-import vetchrill.fuzz.Scripts;
+import vetchrill.fuzz.FuzzedDataProvider;
+import vetchrill.fuzz.InvariantViolation;
+import vetchrill.fuzz.ScriptFormat;
 import vetchrill.fuzz.Target;
-import vetchrill.peersim.VersionsWorld;
+import vetchrill.peersim.VersionsSimulation;
 import vetchrill.powerloss.MemoryMedia;
 import vetchrill.store.DurableStore;
 import vetchrill.versions.VersionManager;
@@ -19,13 +19,13 @@
  * for its keepers, eight of seed, then steps of four.
  */
 public final class RecoveryTarget implements Target {
-    private static final Scripts SCRIPTS = VersionsTarget.SCRIPTS;
-    private static final long LEASE = VersionsTarget.LEASE;
-    private static final long EVERY = VersionsTarget.EVERY;
+    private static final ScriptFormat SCRIPT_FORMAT = VersionsTarget.SCRIPT_FORMAT;
+    private static final long LEASE_TENTHS_MS = VersionsTarget.LEASE_TENTHS_MS;
+    private static final long GOSSIP_PERIOD_TENTHS_MS = VersionsTarget.GOSSIP_PERIOD_TENTHS_MS;
     /** Steps that {@link VersionsTarget} knows; those of stores follow. A second process has no media of its own. */
-    private static final int OTHERS = 23;
-    private static final int TWIN = 21;
-    private static final int STEPS = OTHERS + 9;
+    private static final int FIRST_STORE_STEP = 23;
+    private static final int TWIN_STEP = 21;
+    private static final int STEP_KINDS = FIRST_STORE_STEP + 9;
 
     @Override
     public String name() {
@@ -43,90 +43,99 @@
     }
 
     /** The world as it ends, for whoever counts. */
-    public static VersionsWorld play(byte[] input) {
-        Draws draws = new Draws(Arrays.copyOf(input, Math.min(input.length, SCRIPTS.longest())));
-        int size = 3 + draws.octet() % 4;
-        int of = draws.octet();
-        int keepers = of % 3 == 0 && size >= 5 ? 5 : 3;
+    public static VersionsSimulation play(byte[] input) {
+        FuzzedDataProvider script = new FuzzedDataProvider(Arrays.copyOf(input,
+                Math.min(input.length, SCRIPT_FORMAT.maxBytes())));
+        int size = 3 + script.nextUnsignedByte() % 4;
+        int layout = script.nextUnsignedByte();
+        int voters = layout % 3 == 0 && size >= 5 ? 5 : 3;
         long seed = 0;
         for (int i = 0; i < 8; i++) {
-            seed = seed << 8 | draws.octet();
+            seed = seed << 8 | script.nextUnsignedByte();
         }
         try {
-            VersionsWorld world = new VersionsWorld(size, keepers, 1, LEASE, EVERY, seed, true);
-            MemoryMedia[] days = new MemoryMedia[size];
-            world.until(4 * EVERY);
-            while (!draws.over()) {
-                int what = draws.below(STEPS);
-                int at = draws.octet() % size;
-                int b = draws.octet();
-                int c = draws.octet();
-                if (what < OTHERS && what != TWIN) {
-                    VersionsTarget.step(world, size, what, at, b, c);
+            VersionsSimulation world = new VersionsSimulation(size, voters, 1, LEASE_TENTHS_MS, GOSSIP_PERIOD_TENTHS_MS,
+                    seed, true);
+            MemoryMedia[] savedMedia = new MemoryMedia[size];
+            world.advanceTo(4 * GOSSIP_PERIOD_TENTHS_MS);
+            while (!script.isExhausted()) {
+                int kind = script.nextInt(STEP_KINDS);
+                int index = script.nextUnsignedByte() % size;
+                int b = script.nextUnsignedByte();
+                int c = script.nextUnsignedByte();
+                if (kind < FIRST_STORE_STEP && kind != TWIN_STEP) {
+                    VersionsTarget.applyStep(world, size, kind, index, b, c);
                 } else {
-                    step(world, days, what, at, b, c);
+                    applyStoreStep(world, savedMedia, kind, index, b, c);
                 }
             }
             world.heal();
-            world.until(world.settles());
-            world.settled();
+            world.advanceTo(world.convergenceDeadline());
+            world.checkConverged();
             return world;
-        } catch (VersionsWorld.Broken e) {
-            throw new Finding(e.getMessage());
+        } catch (VersionsSimulation.InvariantViolation e) {
+            throw new InvariantViolation(e.getMessage());
         }
     }
 
-    private static void step(VersionsWorld world, MemoryMedia[] days, int what, int at, int b, int c) {
-        switch (what) {
-            case OTHERS -> world.loseAll(0);
-            case OTHERS + 1, OTHERS + 2 -> world.loseAll(1 + b % 64);
-            case OTHERS + 3 -> world.returnAll(0);
-            case OTHERS + 4 -> world.returnAll(50L * b);
-            case OTHERS + 5 -> days[at] = world.day(at);
-            case OTHERS + 6 -> {
-                if (days[at] != null) {
-                    world.otherMedia(at, new MemoryMedia(days[at]));
+    private static void applyStoreStep(VersionsSimulation world, MemoryMedia[] savedMedia, int kind, int index, int b,
+            int c) {
+        switch (kind) {
+            case FIRST_STORE_STEP -> world.losePowerOfAll(0);
+            case FIRST_STORE_STEP + 1, FIRST_STORE_STEP + 2 -> world.losePowerOfAll(1 + b % 64);
+            case FIRST_STORE_STEP + 3 -> world.restartAll(0);
+            case FIRST_STORE_STEP + 4 -> world.restartAll(50L * b);
+            case FIRST_STORE_STEP + 5 -> savedMedia[index] = world.copyMedia(index);
+            case FIRST_STORE_STEP + 6 -> {
+                if (savedMedia[index] != null) {
+                    world.replaceMedia(index, new MemoryMedia(savedMedia[index]));
                 }
             }
-            case OTHERS + 7 -> world.otherMedia(at, world.day((at + 1 + b % (days.length - 1)) % days.length));
-            default -> world.spoilMedia(at, b % 2 == 0, c);
+            case FIRST_STORE_STEP + 7 -> world.replaceMedia(index,
+                    world.copyMedia((index + 1 + b % (savedMedia.length - 1)) % savedMedia.length));
+            default -> world.damageMedia(index, b % 2 == 0, c);
         }
     }
 
     /** A version, a floor and a loss in the middle of them, with disks that come back otherwise, beside drawn ones. */
     @Override
     public List<byte[]> seeds() {
-        List<byte[]> seeds = new ArrayList<>(SCRIPTS.seeds(900, 12));
-        int lose = OTHERS;
-        int later = OTHERS + 1;
-        int back = OTHERS + 3;
-        int save = OTHERS + 5;
-        int older = OTHERS + 6;
-        int swap = OTHERS + 7;
-        int spoil = OTHERS + 8;
-        int[][][] stories = {
-            {{13, 0, 0, 0}, {19, 0, 10, 0}, {15, 0, 0, 0}, {later, 0, 1, 0}, {19, 0, 20, 0}, {back, 0, 0, 0},
+        List<byte[]> seeds = new ArrayList<>(SCRIPT_FORMAT.seeds(900, 12));
+        int loseNow = FIRST_STORE_STEP;
+        int loseLater = FIRST_STORE_STEP + 1;
+        int restorePower = FIRST_STORE_STEP + 3;
+        int saveMedia = FIRST_STORE_STEP + 5;
+        int restoreMedia = FIRST_STORE_STEP + 6;
+        int swapMedia = FIRST_STORE_STEP + 7;
+        int spoilMedia = FIRST_STORE_STEP + 8;
+        int[][][] scenarios = {
+            {{13, 0, 0, 0}, {19, 0, 10, 0}, {15, 0, 0, 0}, {loseLater, 0, 1, 0}, {19, 0, 20, 0},
+                    {restorePower, 0, 0, 0},
                 {20, 0, 0, 30}},
-            {{13, 0, 0, 0}, {19, 0, 10, 0}, {15, 0, 0, 0}, {later, 0, 6, 0}, {19, 0, 20, 0}, {back, 0, 0, 0},
-                {later, 0, 9, 0}, {19, 0, 20, 0}, {back, 0, 0, 0}, {20, 0, 0, 30}},
-            {{save, 1, 0, 0}, {13, 0, 0, 0}, {19, 0, 30, 0}, {15, 0, 0, 0}, {20, 0, 0, 20}, {lose, 0, 0, 0},
-                {older, 1, 0, 0}, {back, 0, 0, 0}, {20, 0, 0, 30}},
+            {{13, 0, 0, 0}, {19, 0, 10, 0}, {15, 0, 0, 0}, {loseLater, 0, 6, 0}, {19, 0, 20, 0},
+            {restorePower, 0, 0, 0},
+                {loseLater, 0, 9, 0}, {19, 0, 20, 0}, {restorePower, 0, 0, 0}, {20, 0, 0, 30}},
+            {{saveMedia, 1, 0, 0}, {13, 0, 0, 0}, {19, 0, 30, 0}, {15, 0, 0, 0}, {20, 0, 0, 20}, {loseNow, 0, 0, 0},
+                {restoreMedia, 1, 0, 0}, {restorePower, 0, 0, 0}, {20, 0, 0, 30}},
             // Of three keepers one was not there for the floor, and comes back with the one whose disk is older.
-            {{save, 1, 0, 0}, {13, 0, 0, 0}, {19, 0, 30, 0}, {8, 0, 4, 0}, {15, 0, 0, 0}, {19, 0, 60, 0},
-                {lose, 0, 0, 0}, {older, 1, 0, 0}, {18, 0, 0, 0}, {0, 0, 0, 0}, {20, 0, 0, 30}},
-            {{13, 0, 0, 0}, {19, 0, 30, 0}, {lose, 0, 0, 0}, {swap, 1, 0, 0}, {back, 0, 0, 0}, {15, 0, 0, 0},
+            {{saveMedia, 1, 0, 0}, {13, 0, 0, 0}, {19, 0, 30, 0}, {8, 0, 4, 0}, {15, 0, 0, 0}, {19, 0, 60, 0},
+                {loseNow, 0, 0, 0}, {restoreMedia, 1, 0, 0}, {18, 0, 0, 0}, {0, 0, 0, 0}, {20, 0, 0, 30}},
+            {{13, 0, 0, 0}, {19, 0, 30, 0}, {loseNow, 0, 0, 0}, {swapMedia, 1, 0, 0}, {restorePower, 0, 0, 0},
+            {15, 0, 0, 0},
                 {20, 0, 0, 30}},
-            {{13, 0, 0, 7}, {20, 0, 0, 10}, {lose, 0, 0, 0}, {spoil, 1, 1, 9}, {back, 0, 0, 0}, {20, 0, 0, 30}},
-            {{13, 0, 0, 7}, {20, 0, 0, 10}, {lose, 0, 0, 0}, {spoil, 2, 0, 40}, {back, 0, 0, 0}, {20, 0, 0, 30}},
+            {{13, 0, 0, 7}, {20, 0, 0, 10}, {loseNow, 0, 0, 0}, {spoilMedia, 1, 1, 9}, {restorePower, 0, 0, 0},
+            {20, 0, 0, 30}},
+            {{13, 0, 0, 7}, {20, 0, 0, 10}, {loseNow, 0, 0, 0}, {spoilMedia, 2, 0, 40}, {restorePower, 0, 0, 0},
+            {20, 0, 0, 30}},
         };
-        for (int[][] story : stories) {
-            seeds.add(SCRIPTS.told(story));
+        for (int[][] scenario : scenarios) {
+            seeds.add(SCRIPT_FORMAT.encode(scenario));
         }
         return seeds;
     }
 
     @Override
-    public byte[] mutate(byte[] input, SplittableRandom chance) {
-        return SCRIPTS.mutate(input, chance);
+    public byte[] mutate(byte[] input, SplittableRandom random) {
+        return SCRIPT_FORMAT.mutate(input, random);
     }
 }
--- a/fuzz/src/main/java/vetchrill/fuzz/targets/StoreTarget.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/targets/StoreTarget.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import vetchrill.fuzz.Draws;
-import vetchrill.fuzz.Finding;
-import vetchrill.fuzz.Scripts;
+import vetchrill.fuzz.FuzzedDataProvider;
+import vetchrill.fuzz.InvariantViolation;
+import vetchrill.fuzz.ScriptFormat;
 import vetchrill.fuzz.Target;
-import vetchrill.powerloss.LosingDisk;
+import vetchrill.powerloss.PowerLossDisk;
 import vetchrill.powerloss.MemoryMedia;
 import vetchrill.store.Change;
 import vetchrill.store.DurableStore;
@@ -21,8 +21,8 @@
  * seed, then steps of three.
  */
 public final class StoreTarget implements Target {
-    private static final Scripts SCRIPTS = new Scripts(8, 3, 60);
-    private static final long BOUND = DurableStore.MIN_CAPACITY_BYTES;
+    private static final ScriptFormat SCRIPT_FORMAT = new ScriptFormat(8, 3, 60);
+    private static final long CAPACITY_BYTES = DurableStore.MIN_CAPACITY_BYTES;
     private static final String OWNER = "r1";
 
     private static final class PowerLost extends RuntimeException {
@@ -30,69 +30,69 @@
     }
 
     /** One play: the store, and what it said. */
-    private static final class Play {
-        private final SplittableRandom chance;
+    private static final class StoreSession {
+        private final SplittableRandom random;
         private final MemoryMedia media = new MemoryMedia();
-        private final TreeMap<String, String> held = new TreeMap<>();
+        private final TreeMap<String, String> committed = new TreeMap<>();
         /** What would be there with one that was refused since the last was kept: the power may still leave it. */
-        private final List<TreeMap<String, String>> open = new ArrayList<>();
-        private LosingDisk disk;
-        private DurableStore journal;
-        private int pointsLeft;
-        private int failing;
-        private long commits;
+        private final List<TreeMap<String, String>> possibleStates = new ArrayList<>();
+        private PowerLossDisk disk;
+        private DurableStore store;
+        private int writesUntilPowerLoss;
+        private int writeFailuresLeft;
+        private long lastCommit;
 
-        Play(long seed) throws IOException {
-            chance = new SplittableRandom(seed);
+        StoreSession(long seed) throws IOException {
+            random = new SplittableRandom(seed);
             reopen();
         }
 
         private void reopen() throws IOException {
-            disk = new LosingDisk(media, chance.split(), 0.3, call -> {
-                if (media.size() > BOUND) {
-                    throw new Finding(media.size() + " octets are past the bound");
+            disk = new PowerLossDisk(media, random.split(), 0.3, call -> {
+                if (media.totalBytes() > CAPACITY_BYTES) {
+                    throw new InvariantViolation(media.totalBytes() + " octets are past the bound");
                 }
-                if (pointsLeft > 0 && --pointsLeft == 0) {
+                if (writesUntilPowerLoss > 0 && --writesUntilPowerLoss == 0) {
                     throw new PowerLost();
                 }
-                if (failing > 0 && chance.nextInt(3) == 0) {
-                    failing--;
+                if (writeFailuresLeft > 0 && random.nextInt(3) == 0) {
+                    writeFailuresLeft--;
                     throw new IOException("No space left on device");
                 }
             });
-            journal = new DurableStore(disk, OWNER, BOUND);
-            if (journal.outcome().compareTo(DurableStore.RecoveryOutcome.TORN) > 0) {
-                throw new Finding("a store that is whole is " + journal.outcome() + ": " + journal.problem());
+            store = new DurableStore(disk, OWNER, CAPACITY_BYTES);
+            if (store.outcome().compareTo(DurableStore.RecoveryOutcome.TORN) > 0) {
+                throw new InvariantViolation("a store that is whole is " + store.outcome() + ": " + store.problem());
             }
-            TreeMap<String, String> there = there(journal);
-            if (!there.equals(held) && !open.contains(there)) {
-                throw new Finding("what was told to be kept is not what is there");
+            TreeMap<String, String> recovered = readEntries(store);
+            if (!recovered.equals(committed) && !possibleStates.contains(recovered)) {
+                throw new InvariantViolation("what was told to be kept is not what is there");
             }
-            if (journal.lastCommit() < commits) {
-                throw new Finding("the numbers went back from " + commits + " to " + journal.lastCommit());
+            if (store.lastCommit() < lastCommit) {
+                throw new InvariantViolation("the numbers went back from " + lastCommit + " to " + store.lastCommit());
             }
-            held.clear();
-            held.putAll(there);
-            commits = journal.lastCommit();
-            open.clear();
+            committed.clear();
+            committed.putAll(recovered);
+            lastCommit = store.lastCommit();
+            possibleStates.clear();
         }
 
-        private static TreeMap<String, String> there(DurableStore of) {
-            TreeMap<String, String> there = new TreeMap<>();
-            for (Map.Entry<String, byte[]> each : of.entries().entrySet()) {
-                there.put(each.getKey(), new String(each.getValue(), java.nio.charset.StandardCharsets.US_ASCII));
+        private static TreeMap<String, String> readEntries(DurableStore store) {
+            TreeMap<String, String> entries = new TreeMap<>();
+            for (Map.Entry<String, byte[]> each : store.entries().entrySet()) {
+                entries.put(each.getKey(), new String(each.getValue(), java.nio.charset.StandardCharsets.US_ASCII));
             }
-            return there;
+            return entries;
         }
 
         private void commit(int b, int c) throws IOException {
             List<Change> changes = new ArrayList<>();
             for (int i = 0; i <= b % 3; i++) {
                 String key = "fact-" + (b + 7 * i) % 24;
-                changes.add(new Change(key, c % 5 == 4 ? null : Integer.toString(c + i + chance.nextInt(1_000), 36)
+                changes.add(new Change(key, c % 5 == 4 ? null : Integer.toString(c + i + random.nextInt(1_000), 36)
                         .repeat(1 + c % 60).getBytes(java.nio.charset.StandardCharsets.US_ASCII)));
             }
-            TreeMap<String, String> after = new TreeMap<>(held);
+            TreeMap<String, String> after = new TreeMap<>(committed);
             for (Change each : changes) {
                 if (each.value() == null) {
                     after.remove(each.key());
@@ -100,48 +100,50 @@
                     after.put(each.key(), new String(each.value(), java.nio.charset.StandardCharsets.US_ASCII));
                 }
             }
-            open.add(after);
+            possibleStates.add(after);
             try {
-                journal.commit(changes, b % 2 == 0);
-                held.clear();
-                held.putAll(after);
-                commits = journal.lastCommit();
-                open.clear();
+                store.commit(changes, b % 2 == 0);
+                committed.clear();
+                committed.putAll(after);
+                lastCommit = store.lastCommit();
+                possibleStates.clear();
             } catch (DurableStore.StoreFullException e) {
-                open.remove(after);
+                possibleStates.remove(after);
             } catch (IOException e) {
-                failing = Math.max(0, failing - 1);
+                writeFailuresLeft = Math.max(0, writeFailuresLeft - 1);
             }
         }
 
-        private void lose() throws IOException {
-            pointsLeft = 0;
-            failing = 0;
-            disk.lose();
+        private void losePower() throws IOException {
+            writesUntilPowerLoss = 0;
+            writeFailuresLeft = 0;
+            disk.losePower();
             reopen();
         }
 
         /** On a copy, since nothing is promised of what follows: damage before the last commits is told. */
-        private void damaged(int b, int c) throws IOException {
+        private void checkDamageDetected(int b, int c) throws IOException {
             MemoryMedia copy = new MemoryMedia(media);
-            List<String> logs = copy.names().stream().filter(each -> each.endsWith(".log")).toList();
-            if (logs.isEmpty() || !open.isEmpty()) {
+            List<String> logs = copy.fileNames().stream().filter(each -> each.endsWith(".log")).toList();
+            if (logs.isEmpty() || !possibleStates.isEmpty()) {
                 return;
             }
-            String last = logs.get(logs.size() - 1);
-            int length = copy.read(last).length;
-            if (b % 4 == 0 && !held.isEmpty()) {
-                if (new DurableStore(new LosingDisk(copy, chance.split(), 0, call -> { }), "r2", BOUND).outcome()
+            String newestLog = logs.get(logs.size() - 1);
+            int length = copy.readFile(newestLog).length;
+            if (b % 4 == 0 && !committed.isEmpty()) {
+                if (new DurableStore(new PowerLossDisk(copy, random.split(), 0, call -> { }), "r2", CAPACITY_BYTES)
+                        .outcome()
                         != DurableStore.RecoveryOutcome.FOREIGN) {
-                    throw new Finding("a store of another name counts");
+                    throw new InvariantViolation("a store of another name counts");
                 }
             } else if (length > 4_000) {
                 // Commits have some hundred octets: behind the first quarter of the log there are whole ones.
-                copy.spoil(last, 60 + (b * 256 + c) % (length / 4 - 60), false);
-                DurableStore other = new DurableStore(new LosingDisk(copy, chance.split(), 0, call -> { }), OWNER,
-                        BOUND);
-                if (other.outcome() != DurableStore.RecoveryOutcome.DAMAGED && !there(other).equals(held)) {
-                    throw new Finding("damage between commits is held to be " + other.outcome());
+                copy.damage(newestLog, 60 + (b * 256 + c) % (length / 4 - 60), false);
+                DurableStore reopened = new DurableStore(new PowerLossDisk(copy, random.split(), 0, call -> { }), OWNER,
+                        CAPACITY_BYTES);
+                if (reopened.outcome() != DurableStore.RecoveryOutcome.DAMAGED && !readEntries(reopened)
+                        .equals(committed)) {
+                    throw new InvariantViolation("damage between commits is held to be " + reopened.outcome());
                 }
             }
         }
@@ -159,51 +161,52 @@
 
     @Override
     public void run(byte[] input) {
-        Draws draws = new Draws(Arrays.copyOf(input, Math.min(input.length, SCRIPTS.longest())));
+        FuzzedDataProvider script = new FuzzedDataProvider(Arrays.copyOf(input,
+                Math.min(input.length, SCRIPT_FORMAT.maxBytes())));
         long seed = 0;
-        for (int i = 0; i < SCRIPTS.head(); i++) {
-            seed = seed << 8 | draws.octet();
+        for (int i = 0; i < SCRIPT_FORMAT.headerBytes(); i++) {
+            seed = seed << 8 | script.nextUnsignedByte();
         }
         try {
-            Play play = new Play(seed);
-            while (!draws.over()) {
-                int what = draws.below(16);
-                int b = draws.octet();
-                int c = draws.octet();
+            StoreSession session = new StoreSession(seed);
+            while (!script.isExhausted()) {
+                int kind = script.nextInt(16);
+                int b = script.nextUnsignedByte();
+                int c = script.nextUnsignedByte();
                 try {
-                    switch (what) {
-                        case 0 -> play.lose();
-                        case 1 -> play.pointsLeft = 1 + b % 16;
-                        case 2 -> play.failing = 1 + b % 3;
-                        case 3 -> play.damaged(b, c);
+                    switch (kind) {
+                        case 0 -> session.losePower();
+                        case 1 -> session.writesUntilPowerLoss = 1 + b % 16;
+                        case 2 -> session.writeFailuresLeft = 1 + b % 3;
+                        case 3 -> session.checkDamageDetected(b, c);
                         case 4 -> {
                             for (int i = 0; i < 20; i++) {
-                                play.commit(b + i, c + i);
+                                session.commit(b + i, c + i);
                             }
                         }
-                        case 5 -> play.journal.continueSnapshot();
-                        default -> play.commit(b, c);
+                        case 5 -> session.store.continueSnapshot();
+                        default -> session.commit(b, c);
                     }
                 } catch (PowerLost e) {
-                    play.lose();
+                    session.losePower();
                 } catch (IOException e) {
                     // An idle slice failed: nothing hangs on it.
                     continue;
                 }
             }
-            play.lose();
+            session.losePower();
         } catch (IOException e) {
-            throw new Finding("a store can't be opened: " + e.getMessage());
+            throw new InvariantViolation("a store can't be opened: " + e.getMessage());
         }
     }
 
     @Override
     public List<byte[]> seeds() {
-        return SCRIPTS.seeds(1_100, 40);
+        return SCRIPT_FORMAT.seeds(1_100, 40);
     }
 
     @Override
-    public byte[] mutate(byte[] input, SplittableRandom chance) {
-        return SCRIPTS.mutate(input, chance);
+    public byte[] mutate(byte[] input, SplittableRandom random) {
+        return SCRIPT_FORMAT.mutate(input, random);
     }
 }
--- a/fuzz/src/main/java/vetchrill/fuzz/targets/Registered.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/targets/TargetRegistry.java
@@ -5,8 +5,8 @@
 import vetchrill.fuzz.chain.ChainTarget;
 
 /** The one place at which a target is registered. */
-public final class Registered {
-    private Registered() {
+public final class TargetRegistry {
+    private TargetRegistry() {
     }
 
     public static List<Target> all() {
--- a/fuzz/src/main/java/vetchrill/fuzz/targets/TextTargets.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/targets/TextTargets.java
@@ -14,17 +14,17 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import vetchrill.capture.Capture;
-import vetchrill.capture.CaptureFault;
-import vetchrill.capture.CaptureOrder;
+import vetchrill.capture.CaptureException;
+import vetchrill.capture.CaptureConfig;
 import vetchrill.fleet.Fleet;
-import vetchrill.fleet.FleetFile;
-import vetchrill.fuzz.Finding;
+import vetchrill.fleet.FleetFileReader;
+import vetchrill.fuzz.InvariantViolation;
 import vetchrill.fuzz.Target;
-import vetchrill.hcl.Block;
-import vetchrill.hcl.Mistakes;
+import vetchrill.hcl.ConfigBlock;
+import vetchrill.hcl.ConfigErrors;
 import vetchrill.planner.Goal;
-import vetchrill.program.Starts;
-import vetchrill.protocol.Answers;
+import vetchrill.program.StartConfigurations;
+import vetchrill.protocol.MembershipResponses;
 import vetchrill.protocol.DeploymentReader;
 import vetchrill.protocol.MembershipCall;
 import vetchrill.wire.WireFormatException;
@@ -45,13 +45,13 @@
     }
 
     /** A target that is one call. */
-    private abstract static class Text implements Target {
+    private abstract static class TextTarget implements Target {
         private final String name;
         private final List<Class<?>> covers;
         private final List<byte[]> seeds;
         private final List<String> words;
 
-        Text(String name, List<Class<?>> covers, List<String> words, String... seeds) {
+        TextTarget(String name, List<Class<?>> covers, List<String> words, String... seeds) {
             this.name = name;
             this.covers = covers;
             this.words = words;
@@ -80,25 +80,26 @@
     }
 
     static Target membership() {
-        return new Text("membership", List.of(MembershipCall.class), List.of("HTTP/1.1 ", "204", "Content-Length: ",
+        return new TextTarget("membership", List.of(MembershipCall.class),
+                List.of("HTTP/1.1 ", "204", "Content-Length: ",
                 "Connection: close", "\r\n\r\n", "-1", "9999999999"),
                 "HTTP/1.1 204 Told\r\nContent-Length: 0\r\n\r\n",
                 "HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 4\r\n\r\nbody",
                 "HTTP/1.0 200 OK\r\n\r\n") {
             @Override
             public void run(byte[] input) {
-                Counting in = new Counting(input);
+                EndlessInputStream in = new EndlessInputStream(input);
                 try {
-                    int code = Math.abs(Answers.read(in));
+                    int code = Math.abs(MembershipResponses.readStatus(in));
                     if (code > 999) {
-                        throw new Finding("a status of more than three digits is taken");
+                        throw new InvariantViolation("a status of more than three digits is taken");
                     }
                 } catch (IOException e) {
                     // Refused.
                 }
                 // A head and a body are bounded: what never ends may not keep the reporter for ever.
-                if (in.read > 4L * Answers.longestHead()) {
-                    throw new Finding("an answer without an end is read on and on");
+                if (in.bytesRead > 4L * MembershipResponses.maxHeadBytes()) {
+                    throw new InvariantViolation("an answer without an end is read on and on");
                 }
                 onlyItsOwn(input);
             }
@@ -110,40 +111,41 @@
                         + body.length() + "\r\n\r\n" + body + "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n";
                 InputStream in = new ByteArrayInputStream(two.getBytes(StandardCharsets.US_ASCII));
                 try {
-                    int first = Answers.read(in);
-                    int second = body.isEmpty() || first == 204 ? Answers.read(in) : 0;
-                    int third = Answers.read(in);
+                    int first = MembershipResponses.readStatus(in);
+                    int second = body.isEmpty() || first == 204 ? MembershipResponses.readStatus(in) : 0;
+                    int third = MembershipResponses.readStatus(in);
                     if (first != 204 || second != 200 || third != 503) {
-                        throw new Finding("answers on one connection are taken for each other");
+                        throw new InvariantViolation("answers on one connection are taken for each other");
                     }
                 } catch (IOException e) {
-                    throw new Finding("a plain answer is refused", e);
+                    throw new InvariantViolation("a plain answer is refused", e);
                 }
             }
         };
     }
 
     /** Bytes that go on for ever once the input is over: a peer that does not stop. */
-    private static final class Counting extends InputStream {
+    private static final class EndlessInputStream extends InputStream {
         private final byte[] bytes;
-        long read;
+        long bytesRead;
 
-        Counting(byte[] bytes) {
+        EndlessInputStream(byte[] bytes) {
             this.bytes = bytes;
         }
 
         @Override
         public int read() {
-            if (read > 1 << 20) {
+            if (bytesRead > 1 << 20) {
                 return -1;
             }
-            long at = read++;
-            return at < bytes.length ? bytes[(int) at] & 0xff : "x: y\r\n".charAt((int) (at % 6));
+            long position = bytesRead++;
+            return position < bytes.length ? bytes[(int) position] & 0xff : "x: y\r\n".charAt((int) (position % 6));
         }
     }
 
     static Target settings() {
-        return new Text("settings", List.of(DeploymentReader.class), List.of("categories", "effect", "free", "guarded",
+        return new TextTarget("settings", List.of(DeploymentReader.class),
+                List.of("categories", "effect", "free", "guarded",
                 "single_shot", "aimMs", "deadlineMs", "1e400", "-1", "null", "[]", "{}", "familyInfo", "meters"),
                 SETTINGS, "{}", "[1,2]") {
             @Override
@@ -151,17 +153,18 @@
                 try {
                     DeploymentReader read = new DeploymentReader(new String(input, StandardCharsets.UTF_8));
                     if (read.groupNames.size() != read.deployment.groups.size() || read.deployment.groups.isEmpty()) {
-                        throw new Finding("groups without names");
+                        throw new InvariantViolation("groups without names");
                     }
                 } catch (IllegalArgumentException e) {
-                    oneLine(e.getMessage());
+                    checkOneLine(e.getMessage());
                 }
             }
         };
     }
 
     static Target start() {
-        return new Text("start", List.of(Starts.of()), List.of("\"listen\":", "\"vm\":", "127.0.0.1:1", "\"seed\":",
+        return new TextTarget("start", List.of(StartConfigurations.configurationClass()),
+                List.of("\"listen\":", "\"vm\":", "127.0.0.1:1", "\"seed\":",
                 "\"stop_ms\":", "\"limits\":", "memory_mb", "sockets", "1e99", "-1"),
                 "{\"name\":\"n1\",\"listen\":\"127.0.0.1:1\",\"vm\":\"127.0.0.1:2\",\"members\":\"127.0.0.1:3\","
                 + "\"seed\":\"8c1f30d27a5be964\",\"stop_ms\":600,\"limits\":{\"cores\":1.0,\"memory_mb\":192,"
@@ -177,9 +180,9 @@
                         file.toFile().deleteOnExit();
                     }
                     Files.write(file, input);
-                    Starts.read(Map.of("GW_CONFIG", file.toString()));
+                    StartConfigurations.read(Map.of("GW_CONFIG", file.toString()));
                 } catch (IllegalArgumentException e) {
-                    oneLine(e.getMessage());
+                    checkOneLine(e.getMessage());
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
                 }
@@ -187,14 +190,14 @@
         };
     }
 
-    private static void oneLine(String message) {
+    private static void checkOneLine(String message) {
         if (message == null || message.isBlank() || message.indexOf('\n') >= 0) {
-            throw new Finding("a refusal is not one line that says why");
+            throw new InvariantViolation("a refusal is not one line that says why");
         }
     }
 
     static Target wire() {
-        return new Text("wire", wireClasses(), List.of("sync ", "commit", "at ", "born ", "inbound ", "ring ",
+        return new TextTarget("wire", wireClasses(), List.of("sync ", "commit", "at ", "born ", "inbound ", "ring ",
                 "run_over ",
                 "instance=", "tsMs=", "seq=", "rid=", "type=", "salt=", "options=", "disposition=completed", "\n"),
                 "sync tsMs=1000.0 seq=1\nat instance=0\nborn salt=7 options=" + SETTINGS
@@ -213,7 +216,7 @@
                     }
                 });
                 if (!whole.equals(pieces)) {
-                    throw new Finding("the same lines, cut otherwise, are decided otherwise");
+                    throw new InvariantViolation("the same lines, cut otherwise, are decided otherwise");
                 }
             }
 
@@ -247,7 +250,8 @@
     }
 
     static Target hcl() {
-        return new Text("hcl", List.of(Block.class, FleetFile.class, Goal.class, CaptureOrder.class), List.of("kind",
+        return new TextTarget("hcl", List.of(ConfigBlock.class, FleetFileReader.class, Goal.class, CaptureConfig.class),
+                List.of("kind",
                 "zone", "group", "stubs", "{", "}", "\"", "= ", "relays", "cores", "goal", "capture", "/*", "*/", "#",
                 "<<EOF\n", "${", "1e999", "-", "[", "]", "true"),
                 "kind \"k\" {\n  cores = 2\n  memory_mb = 4\n  reading_ms = 3\n}\nzone \"a\" { relays = { k = 2 } }\n"
@@ -261,23 +265,23 @@
                 Fleet fleet = null;
                 for (int i = 0; i < 3; i++) {
                     try {
-                        Block root = Block.parse("f", text);
+                        ConfigBlock root = ConfigBlock.parse("f", text);
                         if (i == 0) {
-                            fleet = FleetFile.read(root);
+                            fleet = FleetFileReader.read(root);
                             whole(fleet);
                         } else if (i == 1) {
-                            CaptureOrder.in(root);
+                            CaptureConfig.readFrom(root);
                             root.check();
                         } else if (fleet != null) {
                             Goal.read(root, fleet);
                         }
-                    } catch (Mistakes e) {
-                        if (e.each.isEmpty()) {
-                            throw new Finding("refused without a word");
+                    } catch (ConfigErrors e) {
+                        if (e.messages.isEmpty()) {
+                            throw new InvariantViolation("refused without a word");
                         }
-                        for (String each : e.each) {
+                        for (String each : e.messages) {
                             if (!each.startsWith("f:")) {
-                                throw new Finding("a mistake without its place");
+                                throw new InvariantViolation("a mistake without its place");
                             }
                         }
                     }
@@ -285,8 +289,8 @@
             }
 
             private void whole(Fleet fleet) {
-                if (fleet.relays() < 1 || fleet.stubs() < 1 || fleet.groups.isEmpty()) {
-                    throw new Finding("half a fleet is taken for a whole one");
+                if (fleet.instanceCount() < 1 || fleet.stubCount() < 1 || fleet.groups.isEmpty()) {
+                    throw new InvariantViolation("half a fleet is taken for a whole one");
                 }
             }
         };
@@ -310,19 +314,19 @@
             public void run(byte[] input) {
                 try {
                     Capture capture = Capture.read(Path.of("c"), input);
-                    if (capture.rows != capture.arrived.length || capture.rows != capture.away.length) {
-                        throw new Finding("columns of different lengths");
+                    if (capture.rows != capture.arrivedAt.length || capture.rows != capture.retryAfter.length) {
+                        throw new InvariantViolation("columns of different lengths");
                     }
-                } catch (CaptureFault e) {
-                    oneLine(e.getMessage());
+                } catch (CaptureException e) {
+                    checkOneLine(e.getMessage());
                 }
                 // A damaged part whose sum is made right again gets past the sum: what is inside is checked as well.
                 byte[] mended = mended(input);
                 if (mended != null) {
                     try {
                         Capture.read(Path.of("c"), mended);
-                    } catch (CaptureFault e) {
-                        oneLine(e.getMessage());
+                    } catch (CaptureException e) {
+                        checkOneLine(e.getMessage());
                     }
                 }
             }
@@ -349,7 +353,7 @@
                     seeds = new ArrayList<>();
                     try {
                         Path folder = Files.createTempDirectory("vetchrill-seed");
-                        var writer = new vetchrill.capture.CaptureWriter(CaptureOrder.in(Block.parse("o",
+                        var writer = new vetchrill.capture.CaptureWriter(CaptureConfig.readFrom(ConfigBlock.parse("o",
                                 "capture {\n directory = \"" + folder
                                         + "\"\n zone = \"z\"\n kind = \"k\"\n subject_key = "
                                 + "\"00112233445566778899aabbccddeeff\"\n}\n")),
--- a/fuzz/src/main/java/vetchrill/fuzz/targets/VersionsTarget.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/targets/VersionsTarget.java
@@ -4,11 +4,11 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
-import vetchrill.fuzz.Draws;
-import vetchrill.fuzz.Finding;
-import vetchrill.fuzz.Scripts;
+import vetchrill.fuzz.FuzzedDataProvider;
+import vetchrill.fuzz.InvariantViolation;
+import vetchrill.fuzz.ScriptFormat;
 import vetchrill.fuzz.Target;
-import vetchrill.peersim.VersionsWorld;
+import vetchrill.peersim.VersionsSimulation;
 import vetchrill.versions.Version.Stage;
 import vetchrill.versions.VersionManager;
 
@@ -17,12 +17,12 @@
  * seed, then steps of four.
  */
 public final class VersionsTarget implements Target {
-    private static final int HEAD = 10;
-    private static final int STEP = 4;
-    private static final int MOST_STEPS = 40;
-    static final long LEASE = 20_000;
-    static final long EVERY = 2_000;
-    public static final Scripts SCRIPTS = new Scripts(HEAD, STEP, MOST_STEPS);
+    private static final int HEADER_BYTES = 10;
+    private static final int STEP_BYTES = 4;
+    private static final int MAX_STEPS = 40;
+    static final long LEASE_TENTHS_MS = 20_000;
+    static final long GOSSIP_PERIOD_TENTHS_MS = 2_000;
+    public static final ScriptFormat SCRIPT_FORMAT = new ScriptFormat(HEADER_BYTES, STEP_BYTES, MAX_STEPS);
 
     @Override
     public String name() {
@@ -36,65 +36,69 @@
 
     @Override
     public void run(byte[] input) {
-        Draws draws = new Draws(Arrays.copyOf(input, Math.min(input.length, SCRIPTS.longest())));
-        int size = 3 + draws.octet() % 6;
-        int of = draws.octet();
-        int keepers = of % 3 == 0 && size >= 5 ? 5 : 3;
+        FuzzedDataProvider script = new FuzzedDataProvider(Arrays.copyOf(input,
+                Math.min(input.length, SCRIPT_FORMAT.maxBytes())));
+        int size = 3 + script.nextUnsignedByte() % 6;
+        int layout = script.nextUnsignedByte();
+        int voters = layout % 3 == 0 && size >= 5 ? 5 : 3;
         long seed = 0;
         for (int i = 0; i < 8; i++) {
-            seed = seed << 8 | draws.octet();
+            seed = seed << 8 | script.nextUnsignedByte();
         }
         try {
-            VersionsWorld world = new VersionsWorld(size, keepers, 1 + of / 3 % 3, LEASE, EVERY, seed);
-            world.until(4 * EVERY);
-            while (!draws.over()) {
-                step(world, size, draws.below(23), draws.octet() % size, draws.octet(), draws.octet());
+            VersionsSimulation world = new VersionsSimulation(size, voters, 1 + layout / 3 % 3, LEASE_TENTHS_MS,
+                    GOSSIP_PERIOD_TENTHS_MS, seed);
+            world.advanceTo(4 * GOSSIP_PERIOD_TENTHS_MS);
+            while (!script.isExhausted()) {
+                applyStep(world, size, script.nextInt(23), script.nextUnsignedByte() % size, script.nextUnsignedByte(),
+                        script.nextUnsignedByte());
             }
             world.heal();
-            world.until(world.settles());
-            world.settled();
-        } catch (VersionsWorld.Broken e) {
-            throw new Finding(e.getMessage());
+            world.advanceTo(world.convergenceDeadline());
+            world.checkConverged();
+        } catch (VersionsSimulation.InvariantViolation e) {
+            throw new InvariantViolation(e.getMessage());
         }
     }
 
-    static void step(VersionsWorld world, int size, int what, int at, int b, int c) {
-        int other = (at + 1 + b % (size - 1)) % size;
-        switch (what) {
-            case 0 -> world.kill(at);
-            case 1 -> world.start(at);
+    static void applyStep(VersionsSimulation world, int size, int kind, int index, int b, int c) {
+        int other = (index + 1 + b % (size - 1)) % size;
+        switch (kind) {
+            case 0 -> world.kill(index);
+            case 1 -> world.start(index);
             case 2 -> {
-                world.kill(at);
-                world.start(at);
+                world.kill(index);
+                world.start(index);
             }
-            case 3 -> world.loseDisk(at, null);
-            case 4, 5 -> world.pause(at, 500L * c);
-            case 6 -> world.cut(at, other, true);
-            case 7 -> world.cut(at, other, false);
-            case 8 -> world.part(size, b ^ c);
-            case 9 -> world.loss = b % 6 / 10.0;
-            case 10 -> world.doubled = b % 4 / 4.0;
-            case 11 -> world.longestDelay = 2 + 40L * b;
+            case 3 -> world.loseDisk(index, null);
+            case 4, 5 -> world.pause(index, 500L * c);
+            case 6 -> world.setLinkCut(index, other, true);
+            case 7 -> world.setLinkCut(index, other, false);
+            case 8 -> world.partition(size, b ^ c);
+            case 9 -> world.lossRatio = b % 6 / 10.0;
+            case 10 -> world.duplicateRatio = b % 4 / 4.0;
+            case 11 -> world.maxDelayTenthsMs = 2 + 40L * b;
             case 12 -> {
                 if (b % 3 == 2) {
-                    world.slow(at, 150L * c);
+                    world.delayWrites(index, 150L * c);
                 } else {
-                    world.fill(at, b % 3 == 0);
+                    world.setDiskFull(index, b % 3 == 0);
                 }
             }
-            case 21 -> world.twin(at, b ^ c);
-            case 22 -> world.spoilt = b % 3 / 4.0;
-            case 13, 14 -> world.publish(at, 1 + b % 6, content(b, c), c % 16 == 15 ? "b".repeat(64)
-                    : c % 16 == 14 ? VersionsWorld.TEXT : "", c % 5 == 4 ? List.of(new Stage("", 0.5), new Stage("", 1))
+            case 21 -> world.startTwin(index, b ^ c);
+            case 22 -> world.corruptionRatio = b % 3 / 4.0;
+            case 13, 14 -> world.publish(index, 1 + b % 6, content(b, c), c % 16 == 15 ? "b".repeat(64)
+                    : c % 16 == 14 ? VersionsSimulation.PROGRAM_DIGEST : "",
+                    c % 5 == 4 ? List.of(new Stage("", 0.5), new Stage("", 1))
                     : List.of(new Stage("", 1)), c % 5 == 4 ? 5_000 : 0);
-            case 15, 16 -> world.floor(at, 1 + b % 6);
+            case 15, 16 -> world.setMinVersion(index, 1 + b % 6);
             case 17 -> {
                 if (c % 4 == 0) {
-                    world.halt(at, 1 + b % 6);
+                    world.halt(index, 1 + b % 6);
                 }
             }
             case 18 -> world.heal();
-            default -> world.until(world.now() + 100L * b + (what == 20 ? 1_000L * c : 0));
+            default -> world.advanceTo(world.now() + 100L * b + (kind == 20 ? 1_000L * c : 0));
         }
     }
 
@@ -107,10 +111,10 @@
     }
 
     /** A keeper lives twice: one is taught by three, the other is still heard by two who did not hear of that. */
-    private static int[][] twice() {
+    private static int[][] twinScenario() {
         List<int[]> steps = new ArrayList<>(List.of(new int[] {21, 1, 0b011001, 0}, new int[] {19, 0, 255, 0}));
-        int[][] apart = {{4, 0}, {4, 3}, {4, 1}, {2, 0}, {2, 3}, {5, 0}, {5, 3}};
-        for (int[] pair : apart) {
+        int[][] cutPairs = {{4, 0}, {4, 3}, {4, 1}, {2, 0}, {2, 3}, {5, 0}, {5, 3}};
+        for (int[] pair : cutPairs) {
             steps.add(new int[] {6, pair[0], Math.floorMod(pair[1] - pair[0] - 1, 6), 0});
             steps.add(new int[] {6, pair[1], Math.floorMod(pair[0] - pair[1] - 1, 6), 0});
         }
@@ -124,8 +128,8 @@
     /** The stories that floors are made for, beside those that are drawn. */
     @Override
     public List<byte[]> seeds() {
-        List<byte[]> seeds = new ArrayList<>(SCRIPTS.seeds(700, 12));
-        int[][][] stories = {
+        List<byte[]> seeds = new ArrayList<>(SCRIPT_FORMAT.seeds(700, 12));
+        int[][][] scenarios = {
             // One stands still, one is cut off, while a floor is raised.
             {{13, 0, 0, 0}, {19, 0, 30, 0}, {4, 4, 0, 120}, {15, 0, 0, 0}, {19, 0, 255, 0}, {20, 0, 0, 40}},
             {{13, 0, 0, 0}, {19, 0, 30, 0}, {8, 0, 8, 0}, {15, 0, 0, 0}, {19, 0, 255, 0}, {20, 0, 0, 40}},
@@ -161,27 +165,27 @@
             {{13, 3, 2, 7}, {3, 3, 0, 0}, {13, 1, 1, 0}, {20, 0, 0, 30}},
         };
         // Of five keepers one promises, forgets, is taught by three who did not hear of it; one of these promises.
-        int[][][] ofFive = {
+        int[][][] fiveVoterScenarios = {
             {{8, 0, 1, 0}, {13, 0, 0, 0}, {19, 0, 10, 0}, {15, 0, 0, 0}, {19, 0, 20, 0}, {8, 0, 3, 0}, {19, 0, 20, 0},
                 {3, 1, 0, 0}, {8, 0, 1, 0}, {19, 0, 255, 0}, {8, 0, 9, 0}, {20, 0, 0, 40}},
             {{8, 0, 1, 0}, {13, 0, 0, 0}, {19, 0, 10, 0}, {15, 0, 0, 0}, {19, 0, 20, 0}, {8, 0, 3, 0}, {19, 0, 20, 0},
                 {12, 3, 2, 100}, {3, 1, 0, 0}, {8, 0, 1, 0}, {19, 0, 40, 0}, {2, 3, 0, 0}, {8, 0, 9, 0},
                 {20, 0, 0, 40}},
-            twice(),
+            twinScenario(),
         };
-        for (int i = 0; i < stories.length + ofFive.length; i++) {
-            boolean five = i >= stories.length;
-            int[][] story = five ? ofFive[i - stories.length] : stories[i];
-            byte[] seed = SCRIPTS.told(story);
-            seed[0] = (byte) (five ? 3 : 2);
-            seed[1] = (byte) (five ? 0 : 1);
+        for (int i = 0; i < scenarios.length + fiveVoterScenarios.length; i++) {
+            boolean fiveVoters = i >= scenarios.length;
+            int[][] scenario = fiveVoters ? fiveVoterScenarios[i - scenarios.length] : scenarios[i];
+            byte[] seed = SCRIPT_FORMAT.encode(scenario);
+            seed[0] = (byte) (fiveVoters ? 3 : 2);
+            seed[1] = (byte) (fiveVoters ? 0 : 1);
             seeds.add(seed);
         }
         return seeds;
     }
 
     @Override
-    public byte[] mutate(byte[] input, SplittableRandom chance) {
-        return SCRIPTS.mutate(input, chance);
+    public byte[] mutate(byte[] input, SplittableRandom random) {
+        return SCRIPT_FORMAT.mutate(input, random);
     }
 }
--- a/fuzz/src/main/java/vetchrill/program/Starts.java
+++ b/fuzz/src/main/java/vetchrill/program/StartConfigurations.java
@@ -3,8 +3,8 @@
 import java.util.Map;
 
 /** A start as the program reads it, without anything started. */
-public final class Starts {
-    private Starts() {
+public final class StartConfigurations {
+    private StartConfigurations() {
     }
 
     /** Throws IllegalArgumentException for a configuration of no use. */
@@ -12,7 +12,7 @@
         new StartConfiguration(environment);
     }
 
-    public static Class<?> of() {
+    public static Class<?> configurationClass() {
         return StartConfiguration.class;
     }
 }
--- a/instance/src/main/java/vetchrill/control/Deployment.java
+++ b/instance/src/main/java/vetchrill/control/Deployment.java
@@ -20,7 +20,7 @@
     public double benefitBeyondShare;
     /** Whether the benefit of a group is per core time already, so that long exchanges are worth more. */
     public boolean benefitScalesWithWork;
-    public int serverCount;
+    public int instanceCount;
     public int callerCount;
     /** Whether the callers are instances of the tier above, with pending queues of their own. */
     public boolean backendTier;
--- a/instance/src/main/java/vetchrill/control/OverloadController.java
+++ b/instance/src/main/java/vetchrill/control/OverloadController.java
@@ -228,7 +228,7 @@
         reportedIdleTime = idleTime;
         reportedLoadHint = deployment.loadHint == Deployment.LoadHint.TOKENS ? MAX_TOKENS : 0;
         arrivalRateByCustomer = new double[deployment.allowancePerSecond.length];
-        allowancePerInstance = Arrays.stream(deployment.allowancePerSecond).sum() / deployment.serverCount;
+        allowancePerInstance = Arrays.stream(deployment.allowancePerSecond).sum() / deployment.instanceCount;
         shortestSloTime = deployment.groups.stream().mapToLong(group -> group.sloTime).min().orElse(Long.MAX_VALUE);
     }
 
@@ -733,7 +733,7 @@
     private double priorityWeight(Exchange ex) {
         double benefit = ex.group.benefit;
         if (ex.customer < arrivalRateByCustomer.length && deployment.allowancePerSecond[ex.customer] > 0) {
-            double rateWithinShare = deployment.allowancePerSecond[ex.customer] / deployment.serverCount;
+            double rateWithinShare = deployment.allowancePerSecond[ex.customer] / deployment.instanceCount;
             double customerArrivalRate = arrivalRateByCustomer[ex.customer];
             if (customerArrivalRate > rateWithinShare) {
                 benefit *= (rateWithinShare + (customerArrivalRate - rateWithinShare) * deployment.benefitBeyondShare)
--- a/instance/src/main/java/vetchrill/program/DrainStep.java
+++ b/instance/src/main/java/vetchrill/program/DrainStep.java
@@ -27,7 +27,7 @@
     public static List<DrainStep> steps(Limits limits, ProcessingChain chain, long drainNoticeAt, long stopAt,
             Runnable closeListener, Runnable onFinished) {
         return List.of(
-                new DrainStep(0, () -> chain.beginDrain(stopAt, drainNoticeAt)),
+                new DrainStep(0, () -> chain.startDrain(stopAt, drainNoticeAt)),
                 // Stubs that don't know of the drain go on connecting, and would send requests just as reading ends. A
                 // refused connection tells them that nothing ran; a closed one leaves that open.
                 new DrainStep(stopAt - limits.stopAcceptingLeadTenthsMs, chain::stopWaitingForSlots),
