--- a/instance/src/main/java/vetchrill/protocol/DeploymentReader.java
+++ b/instance/src/main/java/vetchrill/protocol/DeploymentReader.java
@@ -58,7 +58,7 @@
         }
         decoded.benefitBeyondShare = root.path("overShareWorth").asDouble(1);
         decoded.benefitScalesWithWork = "work".equals(root.path("valueBy").asText());
-        decoded.serverCount = Math.max(1, root.path("servers").asInt(1));
+        decoded.instanceCount = Math.max(1, root.path("servers").asInt(1));
         decoded.callerCount = Math.max(1, familyInfo.path("callers").asInt(1));
         decoded.callersMarkRetries = root.path("clients").path("marksRetry").asBoolean();
         decoded.backendTier = root.path("tier").asInt() > 0;
--- a/instance/src/main/java/vetchrill/routing/DecisionExecutor.java
+++ b/instance/src/main/java/vetchrill/routing/DecisionExecutor.java
@@ -32,10 +32,10 @@
     }
 
     @Override
-    public void reject(Exchange ex, long retryAfter, boolean doNotRetry) {
+    public void reject(Exchange ex, long retryAfter, boolean noRetry) {
         OpenExchange open = (OpenExchange) ex;
         traceDecision("deny", open);
-        registry.deny(open, retryAfter, doNotRetry, clock.now());
+        registry.deny(open, retryAfter, noRetry, clock.now());
     }
 
     @Override
--- a/instance/src/main/java/vetchrill/routing/ExchangeRegistry.java
+++ b/instance/src/main/java/vetchrill/routing/ExchangeRegistry.java
@@ -106,12 +106,12 @@
     }
 
     /** {@code retryAfter} in tenths of a millisecond, 0 for no advice. */
-    void deny(OpenExchange ex, long retryAfter, boolean doNotRetry, long now) {
+    void deny(OpenExchange ex, long retryAfter, boolean noRetry, long now) {
         if (!ex.hasAnswer) {
             denied++;
             ex.retryAfter = retryAfter;
-            ex.doNotRetry = doNotRetry;
-            sendAnswer(ex, Recorder.DENIED, Frames.denied(ex.stream, (retryAfter + 9) / 10, doNotRetry), now);
+            ex.noRetry = noRetry;
+            sendAnswer(ex, Recorder.DENIED, Frames.denied(ex.stream, (retryAfter + 9) / 10, noRetry), now);
         }
     }
 
@@ -173,7 +173,7 @@
             row.answeredAt = ex.answeredAt;
             row.answerKind = ex.answerKind;
             row.retryAfter = ex.retryAfter;
-            row.doNotRetry = ex.doNotRetry;
+            row.noRetry = ex.noRetry;
             recorder.put(row);
         }
     }
--- a/instance/src/main/java/vetchrill/routing/OpenExchange.java
+++ b/instance/src/main/java/vetchrill/routing/OpenExchange.java
@@ -25,7 +25,7 @@
     long runDuration;
     byte answerKind;
     long retryAfter;
-    boolean doNotRetry;
+    boolean noRetry;
 
     /** Identifies the attempts of one exchange; null if its group is not deduplicated. */
     IdempotencyCache.Key idempotencyKey;
--- a/instance/src/main/java/vetchrill/routing/ProcessingChain.java
+++ b/instance/src/main/java/vetchrill/routing/ProcessingChain.java
@@ -191,7 +191,7 @@
     }
 
     /** Starts the drain that was requested at {@code drainNoticeAt}, or sets an earlier stop; on any thread. */
-    public void beginDrain(long stopAt, long drainNoticeAt) {
+    public void startDrain(long stopAt, long drainNoticeAt) {
         thread.post(() -> {
             LOG.log(System.Logger.Level.INFO, "drain: {0} exchanges open on {1} connections, stop in {2} ms",
                     registry.openCount(), registry.connectionCount(), (stopAt - clock.now()) / 10);
--- a/instance/src/main/java/vetchrill/routing/Recorder.java
+++ b/instance/src/main/java/vetchrill/routing/Recorder.java
@@ -38,7 +38,7 @@
         /** The retry-after delay sent with a denial, in tenths of a millisecond; 0 for none. */
         public long retryAfter;
         /** The denial told the stub not to retry. */
-        public boolean doNotRetry;
+        public boolean noRetry;
 
         /** Sets all fields to those of {@code other}. */
         public void copyFrom(ExchangeRow other) {
@@ -57,7 +57,7 @@
             answeredAt = other.answeredAt;
             answerKind = other.answerKind;
             retryAfter = other.retryAfter;
-            doNotRetry = other.doNotRetry;
+            noRetry = other.noRetry;
         }
     }
 
--- a/instance/src/test/java/vetchrill/control/ControllerScenario.java
+++ b/instance/src/test/java/vetchrill/control/ControllerScenario.java
@@ -37,7 +37,7 @@
         deployment.groups = List.of(repeatable, deduplicated, mutating);
         deployment.allowancePerSecond = new double[] {20};
         deployment.benefitBeyondShare = 0.1;
-        deployment.serverCount = 1;
+        deployment.instanceCount = 1;
         deployment.callerCount = 2;
         deployment.cores = 2;
         deployment.memoryKb = 10_000;
--- a/lab/src/main/java/com/bertramlabs/plugins/hcl4j/PlacedSymbols.java
+++ b/lab/src/main/java/com/bertramlabs/plugins/hcl4j/HclSymbols.java
@@ -9,12 +9,12 @@
  * The symbols of an HCL text with their lines. hcl4j's parser drops the lines and its lexer, which keeps them, is
  * visible in its own package only; hence this one class in there, and no other.
  */
-public final class PlacedSymbols {
-    private PlacedSymbols() {
+public final class HclSymbols {
+    private HclSymbols() {
     }
 
     /** Throws HCLParserException, with a line counted from 1 in its message, for what is no HCL. */
-    public static List<Symbol> of(String text) throws HCLParserException {
+    public static List<Symbol> parse(String text) throws HCLParserException {
         HCLLexer lexer = new HCLLexer(new StringReader(text));
         try {
             lexer.yylex();
--- a/lab/src/main/java/vetchrill/auditing/AuditColumns.java
+++ b/lab/src/main/java/vetchrill/auditing/AuditColumns.java
@@ -16,61 +16,61 @@
 
 /** All rows of all records in one Arrow file, whole batches at a time, one record after the other. */
 public final class AuditColumns {
-    private static final int BATCH = 16_384;
-    private static final long MEMORY = 256L << 20;
+    private static final int BATCH_ROWS = 16_384;
+    private static final long MAX_MEMORY_BYTES = 256L << 20;
 
     private AuditColumns() {
     }
 
     /** How many rows were written. */
-    public static long write(Fleetwide fleet, Path to) throws IOException {
+    public static long write(FleetAudit fleet, Path target) throws IOException {
         long[] written = {0};
-        try (RootAllocator memory = new RootAllocator(MEMORY);
-                VarCharVector instance = new VarCharVector("instance", memory);
-                VarCharVector kind = new VarCharVector("kind", memory);
-                BigIntVector life = new BigIntVector("life", memory);
-                BigIntVector hybrid = new BigIntVector("hybrid", memory);
-                BigIntVector id = new BigIntVector("id", memory);
-                BigIntVector version = new BigIntVector("version", memory);
-                IntVector group = new IntVector("group", memory);
-                IntVector customer = new IntVector("customer", memory);
-                IntVector answer = new IntVector("answer", memory);
-                BigIntVector at = new BigIntVector("at", memory);
-                VarCharVector text = new VarCharVector("text", memory);
-                VarCharVector more = new VarCharVector("more", memory);
+        try (RootAllocator allocator = new RootAllocator(MAX_MEMORY_BYTES);
+                VarCharVector instance = new VarCharVector("instance", allocator);
+                VarCharVector kind = new VarCharVector("kind", allocator);
+                BigIntVector life = new BigIntVector("life", allocator);
+                BigIntVector hybrid = new BigIntVector("hybrid", allocator);
+                BigIntVector id = new BigIntVector("id", allocator);
+                BigIntVector version = new BigIntVector("version", allocator);
+                IntVector group = new IntVector("group", allocator);
+                IntVector customer = new IntVector("customer", allocator);
+                IntVector answer = new IntVector("answer", allocator);
+                BigIntVector at = new BigIntVector("at", allocator);
+                VarCharVector text = new VarCharVector("text", allocator);
+                VarCharVector more = new VarCharVector("more", allocator);
                 VectorSchemaRoot root = new VectorSchemaRoot(List.of(instance, kind, life, hybrid, id, version, group,
                         customer, answer, at, text, more));
-                FileChannel file = FileChannel.open(to, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
+                FileChannel file = FileChannel.open(target, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
                 ArrowFileWriter out = new ArrowFileWriter(root, null, file)) {
             out.start();
             int[] rows = {0};
-            for (History history : fleet.histories) {
-                history.read((its, row) -> {
+            for (InstanceAuditLog log : fleet.logs) {
+                log.read((source, event) -> {
                     int i = rows[0]++;
-                    instance.setSafe(i, its.name.getBytes(StandardCharsets.UTF_8));
-                    kind.setSafe(i, row.kind().name().getBytes(StandardCharsets.UTF_8));
-                    life.setSafe(i, its.life);
-                    hybrid.setSafe(i, row.hybridTime());
-                    id.setSafe(i, row.id());
-                    version.setSafe(i, row.version());
-                    group.setSafe(i, row.group());
-                    customer.setSafe(i, row.customer());
-                    answer.setSafe(i, row.kind() == AuditEvent.Kind.OVER ? row.answer() : 0);
-                    at.setSafe(i, row.instanceTime());
-                    text.setSafe(i, row.text().getBytes(StandardCharsets.UTF_8));
-                    more.setSafe(i, row.detail().getBytes(StandardCharsets.UTF_8));
-                    if (rows[0] == BATCH) {
-                        batch(root, out, rows, written);
+                    instance.setSafe(i, source.name.getBytes(StandardCharsets.UTF_8));
+                    kind.setSafe(i, event.kind().name().getBytes(StandardCharsets.UTF_8));
+                    life.setSafe(i, source.processNonce);
+                    hybrid.setSafe(i, event.hybridTime());
+                    id.setSafe(i, event.id());
+                    version.setSafe(i, event.version());
+                    group.setSafe(i, event.group());
+                    customer.setSafe(i, event.customer());
+                    answer.setSafe(i, event.kind() == AuditEvent.Kind.OVER ? event.answer() : 0);
+                    at.setSafe(i, event.instanceTime());
+                    text.setSafe(i, event.text().getBytes(StandardCharsets.UTF_8));
+                    more.setSafe(i, event.detail().getBytes(StandardCharsets.UTF_8));
+                    if (rows[0] == BATCH_ROWS) {
+                        writeBatch(root, out, rows, written);
                     }
                 });
             }
-            batch(root, out, rows, written);
+            writeBatch(root, out, rows, written);
             out.end();
         }
         return written[0];
     }
 
-    private static void batch(VectorSchemaRoot root, ArrowFileWriter out, int[] rows, long[] written) {
+    private static void writeBatch(VectorSchemaRoot root, ArrowFileWriter out, int[] rows, long[] written) {
         if (rows[0] == 0) {
             return;
         }
--- a/lab/src/main/java/vetchrill/bench/QueueBench.java
+++ b/lab/src/main/java/vetchrill/bench/QueueBench.java
@@ -12,8 +12,8 @@
 import org.openjdk.jmh.annotations.State;
 import vetchrill.model.Event;
 import vetchrill.model.EventQueue;
-import vetchrill.model.HeapQueue;
-import vetchrill.model.TimeWheel;
+import vetchrill.model.HeapEventQueue;
+import vetchrill.model.TimingWheelQueue;
 
 /**
  * The model's queue against the plain one: one event taken and one put in, with as many waiting as a large fleet
@@ -23,9 +23,9 @@
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
 public class QueueBench {
-    private static final class Nothing extends Event {
+    private static final class UnusedEvent extends Event {
         @Override
-        public void happen(long now) {
+        public void execute(long now) {
             throw new IllegalStateException("not played here");
         }
     }
@@ -37,26 +37,26 @@
     public int waiting;
 
     private EventQueue events;
-    private final SplittableRandom chance = new SplittableRandom(1);
+    private final SplittableRandom random = new SplittableRandom(1);
 
     @Setup
     public void fill() {
-        events = queue.equals("heap") ? new HeapQueue() : new TimeWheel();
+        events = queue.equals("heap") ? new HeapEventQueue() : new TimingWheelQueue();
         for (int i = 0; i < waiting; i++) {
-            events.add(ahead(), new Nothing());
+            events.add(nextEventTime(), new UnusedEvent());
         }
     }
 
     /** As in the model: most of it soon, a look each tenth of a second, and what a stub gives up seconds later. */
-    private long ahead() {
-        int kind = chance.nextInt(10);
-        return events.now() + (kind < 6 ? chance.nextInt(300) : kind < 8 ? 1_000 : 37_000 + chance.nextInt(23_000));
+    private long nextEventTime() {
+        int kind = random.nextInt(10);
+        return events.now() + (kind < 6 ? random.nextInt(300) : kind < 8 ? 1_000 : 37_000 + random.nextInt(23_000));
     }
 
     @Benchmark
     public Event next() {
         Event event = events.poll();
-        events.add(ahead(), event);
+        events.add(nextEventTime(), event);
         return event;
     }
 }
--- a/lab/src/main/java/vetchrill/bench/RecorderBench.java
+++ b/lab/src/main/java/vetchrill/bench/RecorderBench.java
@@ -16,10 +16,10 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.TearDown;
 import org.openjdk.jmh.infra.Blackhole;
-import vetchrill.capture.CaptureOrder;
+import vetchrill.capture.CaptureConfig;
 import vetchrill.capture.CaptureWriter;
 import vetchrill.files.Folders;
-import vetchrill.hcl.Block;
+import vetchrill.hcl.ConfigBlock;
 import vetchrill.routing.Recorder;
 
 /**
@@ -31,20 +31,22 @@
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
 public class RecorderBench {
     /** Of JMH's tokens, some two nanoseconds each. */
-    private static final int BETWEEN = 2_000;
+    private static final int WORK_TOKENS_PER_EXCHANGE = 2_000;
 
     @Param({"off", "on"})
     public String recording;
 
     private CaptureWriter writer;
     private Path folder;
-    private long at;
+    private long time;
 
     @Setup(Level.Iteration)
     public void open() throws IOException {
         if (recording.equals("on")) {
             folder = Files.createTempDirectory("bench");
-            writer = new CaptureWriter(CaptureOrder.in(Block.parse("o.hcl", "capture {\n directory = \"" + folder
+            writer =
+                    new CaptureWriter(CaptureConfig.readFrom(ConfigBlock.parse("o.hcl",
+                    "capture {\n directory = \"" + folder
                     + "\"\n zone = \"z\"\n kind = \"k\"\n subject_key = \"000102030405060708090a0b0c0d0e0f\"\n}\n")),
                     Map.of("name", "r1", "started", "1", "settings", "{}"));
         }
@@ -54,14 +56,14 @@
     public void close() throws IOException {
         if (writer != null) {
             writer.close();
-            Folders.remove(folder);
+            Folders.deleteRecursively(folder);
         }
     }
 
     @Benchmark
     public long exchange() {
-        Blackhole.consumeCPU(BETWEEN);
-        long now = ++at;
+        Blackhole.consumeCPU(WORK_TOKENS_PER_EXCHANGE);
+        long now = ++time;
         Recorder recorder = writer;
         if (recorder != null) {
             Recorder.ExchangeRow row = recorder.claimExchangeRow();
@@ -79,7 +81,7 @@
                 row.answeredAt = now + 410;
                 row.answerKind = Recorder.COMPLETED;
                 row.retryAfter = 0;
-                row.doNotRetry = false;
+                row.noRetry = false;
                 recorder.put(row);
             }
         }
--- a/lab/src/main/java/vetchrill/capture/Capture.java
+++ b/lab/src/main/java/vetchrill/capture/Capture.java
@@ -25,34 +25,34 @@
     public final String zone;
     public final String kind;
     /** When its process started, in tenths of a millisecond of Unix time. */
-    public final long started;
+    public final long startedAt;
     /** What the relay was told of its deployment. */
-    public final DeploymentReader facts;
+    public final DeploymentReader deployment;
     /** It was ended in its order; else it is read up to its last whole part. */
-    public boolean whole;
+    public boolean complete;
     /** What was cut off at the end, in bytes. */
     public long cutBytes;
     /** Exchanges that found no room and are missing. */
-    public long lost;
+    public long droppedRows;
     public int rows;
-    public long[] arrived = new long[0];
-    public long[] heard = new long[0];
+    public long[] arrivedAt = new long[0];
+    public long[] dequeuedAt = new long[0];
     public byte[] group = new byte[0];
     public int[] customer = new int[0];
     public long[] stub = new long[0];
     public long[] subject = new long[0];
-    public float[] kb = new float[0];
-    public int[] bytes = new int[0];
+    public float[] sizeKb = new float[0];
+    public int[] bodyBytes = new int[0];
     /** 0 where it never ran. */
-    public long[] begun = new long[0];
-    public long[] took = new long[0];
-    public long[] answered = new long[0];
+    public long[] runStartedAt = new long[0];
+    public long[] runDuration = new long[0];
+    public long[] answeredAt = new long[0];
     /** One of those of {@link Recorder}. */
-    public byte[] answer = new byte[0];
-    public long[] away = new long[0];
-    public boolean[] giveUp = new boolean[0];
-    public int looks;
-    public long[] lookAt = new long[0];
+    public byte[] answerKind = new byte[0];
+    public long[] retryAfter = new long[0];
+    public boolean[] doNotRetry = new boolean[0];
+    public int gaugeRows;
+    public long[] sampledAt = new long[0];
     public float[] cpu = new float[0];
     public float[] runnable = new float[0];
     public float[] memory = new float[0];
@@ -60,25 +60,25 @@
 
     private Capture(Path file, Map<String, String> provenance) {
         this.file = file;
-        name = needed(provenance, "name");
-        zone = needed(provenance, "zone");
-        kind = needed(provenance, "kind");
+        name = required(provenance, "name");
+        zone = required(provenance, "zone");
+        kind = required(provenance, "kind");
         try {
-            started = 10 * Long.parseLong(needed(provenance, "started"));
+            startedAt = 10 * Long.parseLong(required(provenance, "started"));
         } catch (NumberFormatException e) {
-            throw new CaptureFault(file + ": its start is no time");
+            throw new CaptureException(file + ": its start is no time");
         }
         try {
-            facts = new DeploymentReader(needed(provenance, "settings"));
+            deployment = new DeploymentReader(required(provenance, "settings"));
         } catch (IllegalArgumentException e) {
-            throw new CaptureFault(file + ": settings in it can't be read: " + e.getMessage());
+            throw new CaptureException(file + ": settings in it can't be read: " + e.getMessage());
         }
     }
 
-    private String needed(Map<String, String> provenance, String key) {
+    private String required(Map<String, String> provenance, String key) {
         String value = provenance.get(key);
         if (value == null || value.isEmpty()) {
-            throw new CaptureFault(file + ": does not say its " + key);
+            throw new CaptureException(file + ": does not say its " + key);
         }
         return value;
     }
@@ -89,145 +89,151 @@
         try {
             all = Files.readAllBytes(file);
         } catch (IOException e) {
-            throw new CaptureFault(file + ": can't be read");
+            throw new CaptureException(file + ": can't be read");
         }
         return read(file, all);
     }
 
     public static Capture read(Path file, byte[] all) {
         if (all.length == 0) {
-            throw new CaptureFault(file + ": is empty");
+            throw new CaptureException(file + ": is empty");
         }
         Capture capture = null;
-        int at = 0;
+        int offset = 0;
         try (RootAllocator allocator = new RootAllocator(512L << 20)) {
-            while (at < all.length) {
-                for (int i = 0; i < Math.min(Parts.MAGIC.length, all.length - at); i++) {
-                    if (all[at + i] != Parts.MAGIC[i]) {
-                        throw new CaptureFault(file + ": " + (at == 0 ? "is no capture" : "is damaged at byte " + at));
+            while (offset < all.length) {
+                for (int i = 0; i < Math.min(CaptureFormat.MAGIC.length, all.length - offset); i++) {
+                    if (all[offset + i] != CaptureFormat.MAGIC[i]) {
+                        throw new CaptureException(file + ": "
+                                + (offset == 0 ? "is no capture" : "is damaged at byte " + offset));
                     }
                 }
-                if (all.length - at < Parts.HEAD) {
+                if (all.length - offset < CaptureFormat.HEADER_BYTES) {
                     break;
                 }
-                if (all[at + 4] != Parts.VERSION) {
-                    throw new CaptureFault(file + ": is of version " + all[at + 4] + ", known is " + Parts.VERSION);
+                if (all[offset + 4] != CaptureFormat.VERSION) {
+                    throw new CaptureException(file + ": is of version " + all[offset + 4] + ", known is "
+                            + CaptureFormat.VERSION);
                 }
-                byte table = all[at + 5];
-                int length = Parts.number(all, at + 8);
-                if (length <= 0 || length > Parts.LONGEST || table < Parts.EXCHANGES || table > Parts.END
-                        || all[at + 6] != 0 || all[at + 7] != 0) {
-                    throw new CaptureFault(file + ": is damaged at byte " + at);
+                byte table = all[offset + 5];
+                int length = CaptureFormat.getInt(all, offset + 8);
+                if (length <= 0 || length > CaptureFormat.MAX_PART_BYTES || table < CaptureFormat.EXCHANGES
+                        || table > CaptureFormat.END
+                        || all[offset + 6] != 0 || all[offset + 7] != 0) {
+                    throw new CaptureException(file + ": is damaged at byte " + offset);
                 }
-                if (length > all.length - at - Parts.HEAD) {
+                if (length > all.length - offset - CaptureFormat.HEADER_BYTES) {
                     break;
                 }
-                java.util.zip.CRC32C sum = new java.util.zip.CRC32C();
-                sum.update(all, at + Parts.HEAD, length);
-                if ((int) sum.getValue() != Parts.number(all, at + 12)) {
-                    throw new CaptureFault(file + ": is damaged between bytes " + at + " and "
-                            + (at + Parts.HEAD + length));
+                java.util.zip.CRC32C checksum = new java.util.zip.CRC32C();
+                checksum.update(all, offset + CaptureFormat.HEADER_BYTES, length);
+                if ((int) checksum.getValue() != CaptureFormat.getInt(all, offset + 12)) {
+                    throw new CaptureException(file + ": is damaged between bytes " + offset + " and "
+                            + (offset + CaptureFormat.HEADER_BYTES + length));
                 }
-                if (capture != null && capture.whole) {
-                    throw new CaptureFault(file + ": goes on after its end at byte " + at);
+                if (capture != null && capture.complete) {
+                    throw new CaptureException(file + ": goes on after its end at byte " + offset);
                 }
-                capture = part(file, capture, table, all, at + Parts.HEAD, length, allocator);
-                at += Parts.HEAD + length;
+                capture = readPart(file, capture, table, all, offset + CaptureFormat.HEADER_BYTES, length, allocator);
+                offset += CaptureFormat.HEADER_BYTES + length;
             }
         }
         if (capture == null) {
-            throw new CaptureFault(file + ": holds no whole part");
+            throw new CaptureException(file + ": holds no whole part");
         }
-        capture.cutBytes = all.length - at;
+        capture.cutBytes = all.length - offset;
         return capture;
     }
 
-    private static Capture part(Path file, Capture before, byte table, byte[] all, int from, int length,
+    private static Capture readPart(Path file, Capture earlier, byte table, byte[] all, int from, int length,
             RootAllocator allocator) {
         try (ArrowStreamReader reader = new ArrowStreamReader(new ByteArrayInputStream(all, from, length), allocator)) {
-            if (!Parts.claimsWhatItHas(all, from, length)) {
-                throw new CaptureFault(file + ": a part claims more than it holds");
+            if (!CaptureFormat.declaredLengthsFit(all, from, length)) {
+                throw new CaptureException(file + ": a part claims more than it holds");
             }
             VectorSchemaRoot root = reader.getVectorSchemaRoot();
             Map<String, String> provenance = root.getSchema().getCustomMetadata();
-            Capture capture = before == null ? new Capture(file, provenance) : before;
+            Capture capture = earlier == null ? new Capture(file, provenance) : earlier;
             if (!capture.name.equals(provenance.get("name"))) {
-                throw new CaptureFault(file + ": has parts of different relays");
+                throw new CaptureException(file + ": has parts of different relays");
             }
-            List<String> wanted = table == Parts.LOOKS ? Parts.LOOK_COLUMNS : Parts.EXCHANGE_COLUMNS;
+            List<String> expected = table == CaptureFormat.GAUGES ? CaptureFormat.GAUGE_COLUMNS
+                    : CaptureFormat.EXCHANGE_COLUMNS;
             List<String> names = root.getSchema().getFields().stream().map(field -> field.getName()).toList();
-            if (!names.equals(wanted)) {
-                throw new CaptureFault(file + ": has the columns " + names + ", wanted are " + wanted);
+            if (!names.equals(expected)) {
+                throw new CaptureException(file + ": has the columns " + names + ", wanted are " + expected);
             }
-            capture.lost = Long.parseLong(provenance.getOrDefault("lost", "0"));
-            while (table != Parts.END && reader.loadNextBatch()) {
+            capture.droppedRows = Long.parseLong(provenance.getOrDefault("lost", "0"));
+            while (table != CaptureFormat.END && reader.loadNextBatch()) {
                 if (root.getRowCount() > length) {
-                    throw new CaptureFault(file + ": a part claims " + root.getRowCount() + " rows in " + length
+                    throw new CaptureException(file + ": a part claims " + root.getRowCount() + " rows in " + length
                             + " bytes");
                 }
-                if (table == Parts.LOOKS) {
-                    capture.takeLooks(root);
+                if (table == CaptureFormat.GAUGES) {
+                    capture.addGauges(root);
                 } else {
-                    capture.takeExchanges(root);
+                    capture.addExchanges(root);
                 }
             }
-            capture.whole = table == Parts.END;
+            capture.complete = table == CaptureFormat.END;
             return capture;
-        } catch (CaptureFault e) {
+        } catch (CaptureException e) {
             throw e;
         } catch (IOException | RuntimeException e) {
             // Whatever the library stumbles on in a part that is no part of a capture.
-            throw new CaptureFault(file + ": can't be read: " + String.valueOf(e.getMessage()).split("\n")[0]);
+            throw new CaptureException(file + ": can't be read: " + String.valueOf(e.getMessage()).split("\n")[0]);
         }
     }
 
-    private void takeExchanges(VectorSchemaRoot root) {
+    private void addExchanges(VectorSchemaRoot root) {
         int from = rows;
         int n = root.getRowCount();
         rows += n;
-        arrived = longs(arrived, root.getVector("arrived"), from, n);
-        heard = longs(heard, root.getVector("heard"), from, n);
+        arrivedAt = longs(arrivedAt, root.getVector("arrived"), from, n);
+        dequeuedAt = longs(dequeuedAt, root.getVector("heard"), from, n);
         stub = longs(stub, root.getVector("stub"), from, n);
         subject = longs(subject, root.getVector("subject"), from, n);
-        begun = longs(begun, root.getVector("begun"), from, n);
-        took = longs(took, root.getVector("took"), from, n);
-        answered = longs(answered, root.getVector("answered"), from, n);
-        away = longs(away, root.getVector("away"), from, n);
+        runStartedAt = longs(runStartedAt, root.getVector("begun"), from, n);
+        runDuration = longs(runDuration, root.getVector("took"), from, n);
+        answeredAt = longs(answeredAt, root.getVector("answered"), from, n);
+        retryAfter = longs(retryAfter, root.getVector("away"), from, n);
         customer = ints(customer, root.getVector("customer"), from, n);
-        bytes = ints(bytes, root.getVector("bytes"), from, n);
-        kb = floats(kb, root.getVector("kb"), from, n);
+        bodyBytes = ints(bodyBytes, root.getVector("bytes"), from, n);
+        sizeKb = floats(sizeKb, root.getVector("kb"), from, n);
         int[] groups = ints(new int[0], root.getVector("group"), 0, n);
-        int[] answers = ints(new int[0], root.getVector("answer"), 0, n);
-        int[] lasts = ints(new int[0], root.getVector("give_up"), 0, n);
+        int[] answerKinds = ints(new int[0], root.getVector("answer"), 0, n);
+        int[] doNotRetries = ints(new int[0], root.getVector("give_up"), 0, n);
         group = Arrays.copyOf(group, rows);
-        answer = Arrays.copyOf(answer, rows);
-        giveUp = Arrays.copyOf(giveUp, rows);
+        answerKind = Arrays.copyOf(answerKind, rows);
+        doNotRetry = Arrays.copyOf(doNotRetry, rows);
         for (int i = 0; i < n; i++) {
-            heard[from + i] += arrived[from + i];
+            dequeuedAt[from + i] += arrivedAt[from + i];
             group[from + i] = (byte) groups[i];
-            answer[from + i] = (byte) answers[i];
-            giveUp[from + i] = lasts[i] != 0;
+            answerKind[from + i] = (byte) answerKinds[i];
+            doNotRetry[from + i] = doNotRetries[i] != 0;
             check(from + i);
         }
     }
 
     /** A checksum tells of bytes that changed; this, of a writer that was wrong: no plan is made from nonsense. */
     private void check(int row) {
-        boolean right = group[row] >= 0 && group[row] < facts.groupNames.size() && customer[row] >= 0
-                && customer[row] < Math.max(1, facts.customerNames.size()) && heard[row] >= arrived[row]
-                && took[row] >= 0 && answer[row] >= Recorder.COMPLETED && answer[row] <= Recorder.DISCONNECTED
-                && answered[row] >= arrived[row] && kb[row] > 0 && bytes[row] >= 0
-                && (begun[row] == 0 || begun[row] >= heard[row]);
-        if (!right) {
-            throw new CaptureFault(file + ": row " + row + " can't be: its times, its group or its answer are at odds");
+        boolean valid = group[row] >= 0 && group[row] < deployment.groupNames.size() && customer[row] >= 0
+                && customer[row] < Math.max(1, deployment.customerNames.size()) && dequeuedAt[row] >= arrivedAt[row]
+                && runDuration[row] >= 0 && answerKind[row] >= Recorder.COMPLETED && answerKind[row]
+                <= Recorder.DISCONNECTED
+                && answeredAt[row] >= arrivedAt[row] && sizeKb[row] > 0 && bodyBytes[row] >= 0
+                && (runStartedAt[row] == 0 || runStartedAt[row] >= dequeuedAt[row]);
+        if (!valid) {
+            throw new CaptureException(file + ": row " + row
+                    + " can't be: its times, its group or its answer are at odds");
         }
     }
 
-    private void takeLooks(VectorSchemaRoot root) {
-        int from = looks;
+    private void addGauges(VectorSchemaRoot root) {
+        int from = gaugeRows;
         int n = root.getRowCount();
-        looks += n;
-        lookAt = longs(lookAt, root.getVector("at"), from, n);
+        gaugeRows += n;
+        sampledAt = longs(sampledAt, root.getVector("at"), from, n);
         cpu = floats(cpu, root.getVector("cpu"), from, n);
         runnable = floats(runnable, root.getVector("runnable"), from, n);
         memory = floats(memory, root.getVector("memory"), from, n);
@@ -264,14 +270,14 @@
         try (var list = Files.list(folder)) {
             files = list.filter(file -> file.toString().endsWith(".vcap")).sorted().toList();
         } catch (IOException e) {
-            throw new CaptureFault(folder + ": is no folder of captures");
+            throw new CaptureException(folder + ": is no folder of captures");
         }
         List<Capture> captures = new ArrayList<>();
         for (Path file : files) {
             captures.add(read(file));
         }
         if (captures.stream().mapToInt(capture -> capture.rows).sum() == 0) {
-            throw new CaptureFault(folder + ": holds no exchange");
+            throw new CaptureException(folder + ": holds no exchange");
         }
         return captures;
     }
--- a/lab/src/main/java/vetchrill/capture/Parts.java
+++ b/lab/src/main/java/vetchrill/capture/CaptureFormat.java
@@ -27,24 +27,24 @@
  * four bytes, then a whole Arrow stream of one batch. Each part has its schema and provenance in it, so that each can
  * be read alone.
  */
-final class Parts {
+final class CaptureFormat {
     static final byte[] MAGIC = {'V', 'C', 'A', 'P'};
     static final int VERSION = 1;
-    static final int HEAD = 16;
+    static final int HEADER_BYTES = 16;
     static final byte EXCHANGES = 1;
-    static final byte LOOKS = 2;
+    static final byte GAUGES = 2;
     /** Nothing follows: the recorder was closed. It has no rows, only its provenance with the last counts. */
     static final byte END = 3;
-    static final int LONGEST = 64 << 20;
-    private static final int CONTINUED = -1;
+    static final int MAX_PART_BYTES = 64 << 20;
+    private static final int CONTINUATION_MARKER = -1;
 
     static final List<String> EXCHANGE_COLUMNS = List.of("arrived", "heard", "group", "customer", "stub", "subject",
             "kb",
             "bytes", "begun", "took", "answered", "answer", "away", "give_up");
-    static final List<String> LOOK_COLUMNS = List.of("at", "cpu", "runnable", "memory", "connections", "open",
+    static final List<String> GAUGE_COLUMNS = List.of("at", "cpu", "runnable", "memory", "connections", "open",
             "running");
 
-    private Parts() {
+    private CaptureFormat() {
     }
 
     private static Field field(String name) {
@@ -60,7 +60,7 @@
 
     static Schema schema(byte table, Map<String, String> provenance) {
         List<Field> fields = new ArrayList<>();
-        for (String name : table == LOOKS ? LOOK_COLUMNS : EXCHANGE_COLUMNS) {
+        for (String name : table == GAUGES ? GAUGE_COLUMNS : EXCHANGE_COLUMNS) {
             fields.add(field(name));
         }
         return new Schema(fields, provenance);
@@ -88,22 +88,22 @@
     }
 
     /** One part, whole. */
-    static byte[] write(VectorSchemaRoot rows, byte table) throws IOException {
+    static byte[] encode(VectorSchemaRoot rows, byte table) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(1 << 16);
-        bytes.write(new byte[HEAD]);
+        bytes.write(new byte[HEADER_BYTES]);
         try (ArrowStreamWriter writer = new ArrowStreamWriter(rows, null, Channels.newChannel(bytes))) {
             writer.start();
             writer.writeBatch();
             writer.end();
         }
         byte[] part = bytes.toByteArray();
-        java.util.zip.CRC32C sum = new java.util.zip.CRC32C();
-        sum.update(part, HEAD, part.length - HEAD);
+        java.util.zip.CRC32C checksum = new java.util.zip.CRC32C();
+        checksum.update(part, HEADER_BYTES, part.length - HEADER_BYTES);
         System.arraycopy(MAGIC, 0, part, 0, MAGIC.length);
         part[4] = VERSION;
         part[5] = table;
-        put(part, 8, part.length - HEAD);
-        put(part, 12, (int) sum.getValue());
+        putInt(part, 8, part.length - HEADER_BYTES);
+        putInt(part, 12, (int) checksum.getValue());
         return part;
     }
 
@@ -111,40 +111,42 @@
      * Whether each message of the Arrow stream in a part claims no more bytes than there are: the library makes room
      * for whatever is claimed before it reads any of it.
      */
-    static boolean claimsWhatItHas(byte[] all, int from, int length) {
-        ByteBuffer in = ByteBuffer.wrap(all, from, length).order(ByteOrder.LITTLE_ENDIAN);
+    static boolean declaredLengthsFit(byte[] bytes, int offset, int length) {
+        ByteBuffer in = ByteBuffer.wrap(bytes, offset, length).order(ByteOrder.LITTLE_ENDIAN);
         while (in.remaining() >= 4) {
-            int size = in.getInt();
-            if (size == CONTINUED) {
+            int messageBytes = in.getInt();
+            if (messageBytes == CONTINUATION_MARKER) {
                 if (in.remaining() < 4) {
                     return false;
                 }
-                size = in.getInt();
+                messageBytes = in.getInt();
             }
-            if (size == 0) {
+            if (messageBytes == 0) {
                 return true;
             }
-            if (size < 0 || size > in.remaining()) {
+            if (messageBytes < 0 || messageBytes > in.remaining()) {
                 return false;
             }
-            long body = Message.getRootAsMessage(in.slice().limit(size).order(ByteOrder.LITTLE_ENDIAN)).bodyLength();
-            in.position(in.position() + size);
-            if (body < 0 || body > in.remaining()) {
+            long bodyBytes = Message.getRootAsMessage(in.slice().limit(messageBytes).order(ByteOrder.LITTLE_ENDIAN))
+                    .bodyLength();
+            in.position(in.position() + messageBytes);
+            if (bodyBytes < 0 || bodyBytes > in.remaining()) {
                 return false;
             }
-            in.position(in.position() + (int) body);
+            in.position(in.position() + (int) bodyBytes);
         }
         return true;
     }
 
-    static void put(byte[] to, int at, int value) {
-        to[at] = (byte) (value >> 24);
-        to[at + 1] = (byte) (value >> 16);
-        to[at + 2] = (byte) (value >> 8);
-        to[at + 3] = (byte) value;
+    static void putInt(byte[] bytes, int offset, int value) {
+        bytes[offset] = (byte) (value >> 24);
+        bytes[offset + 1] = (byte) (value >> 16);
+        bytes[offset + 2] = (byte) (value >> 8);
+        bytes[offset + 3] = (byte) value;
     }
 
-    static int number(byte[] from, int at) {
-        return (from[at] & 0xff) << 24 | (from[at + 1] & 0xff) << 16 | (from[at + 2] & 0xff) << 8 | from[at + 3] & 0xff;
+    static int getInt(byte[] bytes, int offset) {
+        return (bytes[offset] & 0xff) << 24 | (bytes[offset + 1] & 0xff) << 16 | (bytes[offset
+                + 2] & 0xff) << 8 | bytes[offset + 3] & 0xff;
     }
 }
--- a/lab/src/main/java/vetchrill/capture/CaptureWriter.java
+++ b/lab/src/main/java/vetchrill/capture/CaptureWriter.java
@@ -27,54 +27,55 @@
 public final class CaptureWriter implements Recorder {
     private static final System.Logger LOG = System.getLogger("vetchrill.capture");
     private static final int PART_ROWS = 4_096;
-    private static final long PAUSE_NS = 2_000_000;
+    private static final long IDLE_PAUSE_NS = 2_000_000;
 
-    private final CaptureOrder order;
+    private final CaptureConfig settings;
     private final Path file;
     private final OutputStream out;
     private final Map<String, String> provenance;
     private final SpscArrayQueue<ExchangeRow> emptyExchanges;
     private final SpscArrayQueue<ExchangeRow> exchanges;
-    private final SpscArrayQueue<GaugeRow> emptyLooks;
-    private final SpscArrayQueue<GaugeRow> looks;
+    private final SpscArrayQueue<GaugeRow> emptyGauges;
+    private final SpscArrayQueue<GaugeRow> gauges;
     private final ThreadLocal<Mac> mac;
-    private final RootAllocator memory = new RootAllocator(256L << 20);
-    private final VectorSchemaRoot exchangeRows;
-    private final VectorSchemaRoot lookRows;
+    private final RootAllocator allocator = new RootAllocator(256L << 20);
+    private final VectorSchemaRoot exchangeTable;
+    private final VectorSchemaRoot gaugeTable;
     private final Thread writer;
     private volatile boolean closing;
     /** Written by the decision thread only. */
-    private volatile long lost;
+    private volatile long droppedRows;
     private int exchangeCount;
-    private int lookCount;
+    private int gaugeCount;
     /** Of the writer alone: rows that the bound on the file left out. */
-    private long spared;
-    private long written;
-    private boolean full;
+    private long rowsBeyondLimit;
+    private long writtenBytes;
+    private boolean limitReached;
 
     /** {@code provenance} says what the rows are of; see {@link Capture} for the names it must have. */
-    public CaptureWriter(CaptureOrder order, Map<String, String> provenance) throws IOException {
-        this.order = order;
+    public CaptureWriter(CaptureConfig settings, Map<String, String> provenance) throws IOException {
+        this.settings = settings;
         this.provenance = new LinkedHashMap<>(provenance);
-        this.provenance.put("zone", order.zone);
-        this.provenance.put("kind", order.kind);
-        Files.createDirectories(order.directory);
-        file = order.directory.resolve(provenance.get("name") + "-" + provenance.get("started") + ".vcap");
+        this.provenance.put("zone", settings.zone);
+        this.provenance.put("kind", settings.kind);
+        Files.createDirectories(settings.directory);
+        file = settings.directory.resolve(provenance.get("name") + "-" + provenance.get("started") + ".vcap");
         out = Files.newOutputStream(file);
-        emptyExchanges = new SpscArrayQueue<>(order.ring);
-        exchanges = new SpscArrayQueue<>(order.ring);
-        emptyLooks = new SpscArrayQueue<>(256);
-        looks = new SpscArrayQueue<>(256);
-        for (int i = 0; i < order.ring; i++) {
+        emptyExchanges = new SpscArrayQueue<>(settings.ringRows);
+        exchanges = new SpscArrayQueue<>(settings.ringRows);
+        emptyGauges = new SpscArrayQueue<>(256);
+        gauges = new SpscArrayQueue<>(256);
+        for (int i = 0; i < settings.ringRows; i++) {
             emptyExchanges.offer(new ExchangeRow());
         }
         for (int i = 0; i < 256; i++) {
-            emptyLooks.offer(new GaugeRow());
+            emptyGauges.offer(new GaugeRow());
         }
-        mac = ThreadLocal.withInitial(this::keyed);
-        exchangeRows = VectorSchemaRoot.create(Parts.schema(Parts.EXCHANGES, this.provenance), memory);
-        lookRows = VectorSchemaRoot.create(Parts.schema(Parts.LOOKS, this.provenance), memory);
-        writer = new Thread(null, this::keep, "capture", 512 << 10);
+        mac = ThreadLocal.withInitial(this::createMac);
+        exchangeTable = VectorSchemaRoot.create(CaptureFormat.schema(CaptureFormat.EXCHANGES, this.provenance),
+                allocator);
+        gaugeTable = VectorSchemaRoot.create(CaptureFormat.schema(CaptureFormat.GAUGES, this.provenance), allocator);
+        writer = new Thread(null, this::runWriter, "capture", 512 << 10);
         writer.setDaemon(true);
         writer.start();
     }
@@ -83,11 +84,11 @@
         return file;
     }
 
-    private Mac keyed() {
+    private Mac createMac() {
         try {
-            Mac keyed = Mac.getInstance("HmacSHA256");
-            keyed.init(new SecretKeySpec(order.key, "HmacSHA256"));
-            return keyed;
+            Mac created = Mac.getInstance("HmacSHA256");
+            created.init(new SecretKeySpec(settings.subjectKey, "HmacSHA256"));
+            return created;
         } catch (NoSuchAlgorithmException | InvalidKeyException e) {
             throw new IllegalStateException(e);
         }
@@ -95,9 +96,9 @@
 
     @Override
     public long subject(byte[] buf, int from, int to) {
-        Mac keyed = mac.get();
-        keyed.update(buf, from, to - from);
-        long value = java.nio.ByteBuffer.wrap(keyed.doFinal()).getLong();
+        Mac subjectMac = mac.get();
+        subjectMac.update(buf, from, to - from);
+        long value = java.nio.ByteBuffer.wrap(subjectMac.doFinal()).getLong();
         return value == 0 ? 1 : value;
     }
 
@@ -107,7 +108,7 @@
     public ExchangeRow claimExchangeRow() {
         ExchangeRow row = emptyExchanges.relaxedPoll();
         if (row == null) {
-            lost++;
+            droppedRows++;
         }
         return row;
     }
@@ -119,21 +120,21 @@
 
     @Override
     public GaugeRow claimGaugeRow() {
-        return emptyLooks.relaxedPoll();
+        return emptyGauges.relaxedPoll();
     }
 
     @Override
     public void put(GaugeRow row) {
-        looks.offer(row);
+        gauges.offer(row);
     }
 
     // On the writer's thread.
 
-    private void keep() {
-        long flushAt = System.nanoTime() + order.flushEvery * 100_000;
+    private void runWriter() {
+        long flushAt = System.nanoTime() + settings.flushPeriod * 100_000;
         try {
             // Whose rows they would be is in the file from the first moment, however soon the process is killed.
-            write(exchangeRows, Parts.EXCHANGES);
+            write(exchangeTable, CaptureFormat.EXCHANGES);
             out.flush();
             while (true) {
                 boolean last = closing;
@@ -141,14 +142,14 @@
                 long now = System.nanoTime();
                 if (last || now >= flushAt) {
                     flush();
-                    flushAt = now + order.flushEvery * 100_000;
+                    flushAt = now + settings.flushPeriod * 100_000;
                 }
                 if (last) {
-                    end();
+                    writeEnd();
                     return;
                 }
                 if (!any) {
-                    LockSupport.parkNanos(PAUSE_NS);
+                    LockSupport.parkNanos(IDLE_PAUSE_NS);
                 }
             }
         } catch (IOException | RuntimeException e) {
@@ -167,11 +168,11 @@
                 flush();
             }
         }
-        for (GaugeRow row = looks.relaxedPoll(); row != null; row = looks.relaxedPoll()) {
+        for (GaugeRow row = gauges.relaxedPoll(); row != null; row = gauges.relaxedPoll()) {
             fill(row);
-            emptyLooks.offer(row);
+            emptyGauges.offer(row);
             any = true;
-            if (++lookCount == PART_ROWS) {
+            if (++gaugeCount == PART_ROWS) {
                 flush();
             }
         }
@@ -179,34 +180,34 @@
     }
 
     private void fill(ExchangeRow row) {
-        int at = exchangeCount;
+        int index = exchangeCount;
         long[] values = {row.arrivedAt, row.dequeuedAt - row.arrivedAt, row.group, row.customer, row.stubNumber,
                 row.subject, 0,
             row.bytes, row.startedAt, row.runDuration, row.answeredAt, row.answerKind, row.retryAfter,
-            row.doNotRetry ? 1 : 0};
+            row.noRetry ? 1 : 0};
         for (int i = 0; i < values.length; i++) {
-            FieldVector column = exchangeRows.getVector(i);
+            FieldVector column = exchangeTable.getVector(i);
             if (i == 6) {
-                Parts.set(column, at, (double) row.kb);
+                CaptureFormat.set(column, index, (double) row.kb);
             } else {
-                Parts.set(column, at, values[i]);
+                CaptureFormat.set(column, index, values[i]);
             }
         }
     }
 
     private void fill(GaugeRow row) {
         double[] values = {0, row.cpu, row.runnable, row.memory, row.connections, row.open, row.running};
-        Parts.set(lookRows.getVector(0), lookCount, row.sampledAt);
+        CaptureFormat.set(gaugeTable.getVector(0), gaugeCount, row.sampledAt);
         for (int i = 1; i < values.length; i++) {
-            Parts.set(lookRows.getVector(i), lookCount, values[i]);
+            CaptureFormat.set(gaugeTable.getVector(i), gaugeCount, values[i]);
         }
     }
 
     private void flush() throws IOException {
-        flush(exchangeRows, Parts.EXCHANGES, exchangeCount);
+        flush(exchangeTable, CaptureFormat.EXCHANGES, exchangeCount);
         exchangeCount = 0;
-        flush(lookRows, Parts.LOOKS, lookCount);
-        lookCount = 0;
+        flush(gaugeTable, CaptureFormat.GAUGES, gaugeCount);
+        gaugeCount = 0;
         out.flush();
     }
 
@@ -219,28 +220,30 @@
     }
 
     private void write(VectorSchemaRoot rows, byte table) throws IOException {
-        provenance.put("lost", Long.toString(lost + spared));
+        provenance.put("lost", Long.toString(droppedRows + rowsBeyondLimit));
         // It shares the columns, so that only the owner of those closes them.
-        byte[] part = Parts.write(new VectorSchemaRoot(Parts.schema(table, provenance), rows.getFieldVectors(),
+        byte[] part = CaptureFormat.encode(new VectorSchemaRoot(CaptureFormat.schema(table, provenance),
+                rows.getFieldVectors(),
                 rows.getRowCount()), table);
-        if (written + part.length > order.mostBytes) {
+        if (writtenBytes + part.length > settings.maxBytes) {
             // What the disk was promised to be spared counts as lost.
-            spared += table == Parts.EXCHANGES ? rows.getRowCount() : 0;
-            if (!full) {
-                LOG.log(System.Logger.Level.WARNING, "the capture has reached its {0} MB", order.mostBytes >> 20);
+            rowsBeyondLimit += table == CaptureFormat.EXCHANGES ? rows.getRowCount() : 0;
+            if (!limitReached) {
+                LOG.log(System.Logger.Level.WARNING, "the capture has reached its {0} MB", settings.maxBytes >> 20);
             }
-            full = true;
+            limitReached = true;
             return;
         }
         out.write(part);
-        written += part.length;
+        writtenBytes += part.length;
     }
 
-    private void end() throws IOException {
-        provenance.put("lost", Long.toString(lost + spared));
-        try (VectorSchemaRoot none = VectorSchemaRoot.create(Parts.schema(Parts.END, provenance), memory)) {
-            none.setRowCount(0);
-            out.write(Parts.write(none, Parts.END));
+    private void writeEnd() throws IOException {
+        provenance.put("lost", Long.toString(droppedRows + rowsBeyondLimit));
+        try (VectorSchemaRoot empty = VectorSchemaRoot.create(CaptureFormat.schema(CaptureFormat.END, provenance),
+                allocator)) {
+            empty.setRowCount(0);
+            out.write(CaptureFormat.encode(empty, CaptureFormat.END));
         }
         out.close();
     }
--- a/lab/src/main/java/vetchrill/files/Folders.java
+++ b/lab/src/main/java/vetchrill/files/Folders.java
@@ -11,10 +11,10 @@
     }
 
     /** With all that is in it; nothing where there is none. */
-    public static void remove(Path folder) throws IOException {
+    public static void deleteRecursively(Path folder) throws IOException {
         if (Files.exists(folder)) {
-            try (var all = Files.walk(folder)) {
-                for (Path each : all.sorted(Comparator.reverseOrder()).toList()) {
+            try (var paths = Files.walk(folder)) {
+                for (Path each : paths.sorted(Comparator.reverseOrder()).toList()) {
                     Files.delete(each);
                 }
             }
@@ -22,9 +22,9 @@
     }
 
     /** All that is in it, into one that is not there yet. */
-    public static void copy(Path from, Path to) throws IOException {
-        try (var all = Files.walk(from)) {
-            for (Path each : all.toList()) {
+    public static void copyRecursively(Path from, Path to) throws IOException {
+        try (var paths = Files.walk(from)) {
+            for (Path each : paths.toList()) {
                 Files.copy(each, to.resolve(from.relativize(each).toString()));
             }
         }
--- a/lab/src/main/java/vetchrill/model/Event.java
+++ b/lab/src/main/java/vetchrill/model/Event.java
@@ -3,8 +3,8 @@
 /** Something that happens at a time; those of one time happen in the order in which they were added. */
 public abstract class Event {
     long time;
-    long number;
+    long sequence;
     Event next;
 
-    public abstract void happen(long now);
+    public abstract void execute(long now);
 }
--- a/lab/src/main/java/vetchrill/model/HeapQueue.java
+++ b/lab/src/main/java/vetchrill/model/HeapEventQueue.java
@@ -4,20 +4,20 @@
 import java.util.PriorityQueue;
 
 /** The plain queue that the wheel is measured against. */
-public final class HeapQueue implements EventQueue {
+public final class HeapEventQueue implements EventQueue {
     static final Comparator<Event> ORDER = (a, b) -> {
         int by = Long.compare(a.time, b.time);
-        return by != 0 ? by : Long.compare(a.number, b.number);
+        return by != 0 ? by : Long.compare(a.sequence, b.sequence);
     };
 
     private final PriorityQueue<Event> events = new PriorityQueue<>(ORDER);
     private long now;
-    private long numbered;
+    private long eventsAdded;
 
     @Override
     public void add(long time, Event event) {
         event.time = Math.max(now, time);
-        event.number = numbered++;
+        event.sequence = eventsAdded++;
         events.add(event);
     }
 
--- a/lab/src/main/java/vetchrill/model/Cores.java
+++ b/lab/src/main/java/vetchrill/model/SharedCores.java
@@ -7,84 +7,85 @@
  * and past a crowd the whole gets slower. No clock and no thread of its own: whoever owns it says what time it is, in
  * tenths of a millisecond, so that the model and the stand-in of real time share it.
  */
-public final class Cores {
+public final class SharedCores {
     /** Slowest that a crowd makes the cores. */
-    private static final double LEAST = 0.1;
+    private static final double MIN_SPEED_RATIO = 0.1;
 
     /** Something that wants core time. */
     public static class Job implements Comparable<Job> {
-        private double endsAt;
-        private long number;
+        private double endsAtService;
+        private long sequence;
 
         @Override
         public final int compareTo(Job other) {
-            int by = Double.compare(endsAt, other.endsAt);
-            return by != 0 ? by : Long.compare(number, other.number);
+            int order = Double.compare(endsAtService, other.endsAtService);
+            return order != 0 ? order : Long.compare(sequence, other.sequence);
         }
     }
 
     private final int cores;
-    private final double crowdFrom;
-    private final double crowdLoss;
+    private final double contentionThreshold;
+    private final double contentionLoss;
     private final PriorityQueue<Job> jobs = new PriorityQueue<>();
-    private double pace;
+    private double speed;
     /** Core time that each job present from the start on would have got. */
-    private double given;
-    private long at;
-    private long numbered;
-    private double busy;
-    private double wanting;
+    private double servicePerJob;
+    private long advancedTo;
+    private long jobsAdded;
+    private double busyTimeSum;
+    private double jobTimeSum;
 
-    public Cores(int cores, double pace, double crowdFrom, double crowdLoss, long now) {
+    public SharedCores(int cores, double speed, double contentionThreshold, double contentionLoss, long now) {
         this.cores = cores;
-        this.pace = pace;
-        this.crowdFrom = crowdFrom;
-        this.crowdLoss = crowdLoss;
-        at = now;
+        this.speed = speed;
+        this.contentionThreshold = contentionThreshold;
+        this.contentionLoss = contentionLoss;
+        advancedTo = now;
     }
 
     /** The part of a core that each of {@code n} jobs gets on cores of speed 1. */
-    public static double part(int n, int cores, double crowdFrom, double crowdLoss) {
+    public static double coreShare(int n, int cores, double contentionThreshold, double contentionLoss) {
         if (n == 0) {
             return 0;
         }
         double perCore = n / (double) cores;
-        double speed = perCore <= crowdFrom ? 1 : Math.max(LEAST, 1 / (1 + crowdLoss * (perCore - crowdFrom)));
-        return Math.min(1, 1 / perCore) * speed;
+        double speedRatio = perCore <= contentionThreshold ? 1 : Math.max(MIN_SPEED_RATIO,
+                1 / (1 + contentionLoss * (perCore - contentionThreshold)));
+        return Math.min(1, 1 / perCore) * speedRatio;
     }
 
     private double rate() {
-        return pace * part(jobs.size(), cores, crowdFrom, crowdLoss);
+        return speed * coreShare(jobs.size(), cores, contentionThreshold, contentionLoss);
     }
 
     private void advance(long now) {
-        if (now > at) {
+        if (now > advancedTo) {
             int n = jobs.size();
-            given += rate() * (now - at);
-            busy += Math.min(1, n / (double) cores) * (now - at);
-            wanting += n * (double) (now - at);
-            at = now;
+            servicePerJob += rate() * (now - advancedTo);
+            busyTimeSum += Math.min(1, n / (double) cores) * (now - advancedTo);
+            jobTimeSum += n * (double) (now - advancedTo);
+            advancedTo = now;
         }
     }
 
-    public void add(Job job, double work, long now) {
+    public void add(Job job, double coreTime, long now) {
         advance(now);
-        job.endsAt = given + work;
-        job.number = numbered++;
+        job.endsAtService = servicePerJob + coreTime;
+        job.sequence = jobsAdded++;
         jobs.add(job);
     }
 
     /** Another speed from now on: of a cold or a slowed machine. */
-    public void pace(double pace, long now) {
+    public void setSpeed(double speed, long now) {
         advance(now);
-        this.pace = pace;
+        this.speed = speed;
     }
 
     /** A job that has what it wants by now, or null; to be asked again until null. */
-    public Job ended(long now) {
+    public Job pollFinished(long now) {
         advance(now);
         Job first = jobs.peek();
-        if (first == null || first.endsAt > given + 1e-6) {
+        if (first == null || first.endsAtService > servicePerJob + 1e-6) {
             return null;
         }
         jobs.poll();
@@ -98,7 +99,7 @@
         if (first == null) {
             return Long.MAX_VALUE;
         }
-        return now + Math.max(1, (long) Math.ceil((first.endsAt - given - 1e-6) / rate()));
+        return now + Math.max(1, (long) Math.ceil((first.endsAtService - servicePerJob - 1e-6) / rate()));
     }
 
     public int size() {
@@ -108,12 +109,12 @@
     /** Time in which all cores would have been as busy as they were, since the start; its growth is the cpu share. */
     public double busyTime(long now) {
         advance(now);
-        return busy;
+        return busyTimeSum;
     }
 
     /** The sum over time of jobs that wanted a core, since the start. */
-    public double wantingTime(long now) {
+    public double jobTime(long now) {
         advance(now);
-        return wanting;
+        return jobTimeSum;
     }
 }
--- a/lab/src/main/java/vetchrill/peering/Rigged.java
+++ b/lab/src/main/java/vetchrill/peering/InjectedFaults.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import vetchrill.audit.AuditWriter;
 import vetchrill.powerloss.FolderMedia;
-import vetchrill.powerloss.LosingDisk;
+import vetchrill.powerloss.PowerLossDisk;
 import vetchrill.store.Disk;
 import vetchrill.store.FolderDisk;
 
@@ -18,113 +18,114 @@
  * does with the power, but for some of it, drawn by {@code seed=S}; {@code lose_at=N}, read at the start: the power
  * goes at the Nth write point. Nothing of it is there without {@code serve --rigged}.
  */
-public final class Rigged implements AuditWriter.Disk {
-    private static final int EVERY_MS = 10;
+public final class InjectedFaults implements AuditWriter.Disk {
+    private static final int POLL_INTERVAL_MS = 10;
     /** Part of the calls at which some of what is not synced comes to the disk all the same. */
-    private static final double SPILL = 0.3;
+    private static final double SPILL_RATIO = 0.3;
     /** What a process exits with whose power went at a write point. */
-    private static final int GONE = 137;
+    private static final int POWER_LOSS_EXIT_CODE = 137;
 
     private final Path file;
-    private volatile long off;
-    private volatile boolean full;
-    private long loseAt;
+    private volatile long clockOffsetMs;
+    private volatile boolean diskFull;
+    private long powerLossPoint;
     private long seed;
-    private long points;
+    private long writePoints;
 
     /** Null for none. */
-    public Rigged(Path file) {
+    public InjectedFaults(Path file) {
         this.file = file;
         if (file != null) {
-            look();
-            Thread thread = new Thread(null, this::watch, "rigged", 128 << 10);
+            readFile();
+            Thread thread = new Thread(null, this::pollFile, "rigged", 128 << 10);
             thread.setDaemon(true);
             thread.start();
         }
     }
 
-    private void watch() {
+    private void pollFile() {
         try {
             while (true) {
-                Thread.sleep(EVERY_MS);
-                look();
+                Thread.sleep(POLL_INTERVAL_MS);
+                readFile();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void look() {
+    private void readFile() {
         try {
-            long by = 0;
-            boolean is = false;
-            for (String word : Files.readString(file).split("\\s+")) {
-                String value = word.substring(word.indexOf('=') + 1);
-                if (word.startsWith("lose_at=")) {
-                    loseAt = Long.parseLong(value);
-                } else if (word.startsWith("seed=")) {
+            long offsetMs = 0;
+            boolean isFull = false;
+            for (String setting : Files.readString(file).split("\\s+")) {
+                String value = setting.substring(setting.indexOf('=') + 1);
+                if (setting.startsWith("lose_at=")) {
+                    powerLossPoint = Long.parseLong(value);
+                } else if (setting.startsWith("seed=")) {
                     seed = Long.parseLong(value);
                 }
-                if (word.startsWith("clock_ms=")) {
-                    by = Long.parseLong(word.substring(9));
+                if (setting.startsWith("clock_ms=")) {
+                    offsetMs = Long.parseLong(setting.substring(9));
                 }
-                is |= word.equals("disk=full");
+                isFull |= setting.equals("disk=full");
             }
-            off = by;
-            full = is;
+            clockOffsetMs = offsetMs;
+            diskFull = isFull;
         } catch (IOException | NumberFormatException e) {
             // It is being written just now: the next look reads it whole.
         }
     }
 
     /** Milliseconds of Unix time. */
-    public long millis() {
-        return System.currentTimeMillis() + off;
+    public long wallTimeMs() {
+        return System.currentTimeMillis() + clockOffsetMs;
     }
 
     /** The same in tenths of a millisecond. */
-    public long tenths() {
-        java.time.Instant at = java.time.Instant.now();
-        return at.getEpochSecond() * 10_000 + at.getNano() / 100_000 + off * 10;
+    public long wallTimeTenthsMs() {
+        java.time.Instant now = java.time.Instant.now();
+        return now.getEpochSecond() * 10_000 + now.getNano() / 100_000 + clockOffsetMs * 10;
     }
 
     /** The disk of what must not be forgotten, as the rig has it. */
-    public Disk disk(Path folder) throws IOException {
-        FolderDisk held = FolderDisk.openLocked(folder);
+    public Disk openDisk(Path folder) throws IOException {
+        FolderDisk disk = FolderDisk.openLocked(folder);
         if (file == null) {
-            return held;
+            return disk;
         }
-        return new LosingDisk(new FolderMedia(held, folder), new SplittableRandom(seed), SPILL, call -> point());
+        return new PowerLossDisk(new FolderMedia(disk, folder), new SplittableRandom(seed), SPILL_RATIO,
+                call -> passWritePoint());
     }
 
-    private void point() throws IOException {
-        if (++points == loseAt) {
+    private void passWritePoint() throws IOException {
+        if (++writePoints == powerLossPoint) {
             // No hook runs, no stream is flushed: as the power goes.
-            Runtime.getRuntime().halt(GONE);
+            Runtime.getRuntime().halt(POWER_LOSS_EXIT_CODE);
         }
-        before();
+        failIfDiskFull();
     }
 
-    private void before() throws IOException {
-        if (full) {
+    private void failIfDiskFull() throws IOException {
+        if (diskFull) {
             throw new IOException("No space left on device");
         }
     }
 
     @Override
     public void write(FileChannel to, ByteBuffer bytes) throws IOException {
-        if (full && bytes.remaining() > 1) {
+        if (diskFull && bytes.remaining() > 1) {
             // As a disk does that fills up: a part of it is there.
             ByteBuffer part = bytes.slice(bytes.position(), bytes.remaining() / 2);
             AuditWriter.FILE_SYSTEM.write(to, part);
         }
-        before();
+        failIfDiskFull();
         AuditWriter.FILE_SYSTEM.write(to, bytes);
     }
 
     @Override
     public void sync(FileChannel of) throws IOException {
-        before();
+        failIfDiskFull();
         AuditWriter.FILE_SYSTEM.sync(of);
     }
 }
--- a/lab/src/main/java/vetchrill/peering/Beside.java
+++ b/lab/src/main/java/vetchrill/peering/PeeringExtension.java
@@ -21,41 +21,43 @@
 import vetchrill.versions.Version;
 
 /** What an instance has beside its chain where an operator's file says so: peers, versions, the record. */
-public final class Beside implements InstanceRunner.Extension {
+public final class PeeringExtension implements InstanceRunner.Extension {
     /** What peers may take: some hundred connections, and words that wait. */
-    private static final long PEER_MEMORY = 64L << 20;
-    private static final int PEER_DESCRIPTORS = 512;
+    private static final long PEER_MEMORY_BYTES = 64L << 20;
+    private static final int MAX_PEER_DESCRIPTORS = 512;
 
     private final String name;
     private final JsonNode settings;
-    private final PeersOrder peers;
-    private final VersionsOrder.Order versions;
-    private final Rigged rigged;
+    private final PeersConfig peers;
+    private final OperatorConfigReader.VersionsBlock versions;
+    private final InjectedFaults faults;
     /** The digest of the program; empty where nothing asks for it. */
-    private final String text;
-    private final HybridLogicalClock time;
-    private final SecureRandom chance = new SecureRandom();
-    private final long nonce = chance.nextLong() & Long.MAX_VALUE;
+    private final String programDigest;
+    private final HybridLogicalClock hybridClock;
+    private final SecureRandom random = new SecureRandom();
+    private final long nonce = random.nextLong() & Long.MAX_VALUE;
     public final Clock clock;
     /** Null where no record is kept. */
     public final AuditWriter audit;
-    private PeerService peering;
+    private PeerService peerService;
 
     /** {@code rigged} is null outside of a rig; {@code told} is what the instance is told at its start. */
-    public Beside(String name, JsonNode told, PeersOrder peers, VersionsOrder.Order versions, AuditConfig audit,
-            Path rigged) throws IOException {
+    public PeeringExtension(String name, JsonNode configuration, PeersConfig peers,
+            OperatorConfigReader.VersionsBlock versions, AuditConfig audit,
+            Path faultFile) throws IOException {
         this.name = name;
         this.peers = peers;
         this.versions = versions;
-        this.rigged = new Rigged(rigged);
-        settings = told.path("settings");
-        text = versions == null && audit == null ? "" : Program.text();
-        time = new HybridLogicalClock(this.rigged::millis);
-        clock = rigged == null ? new Clock() : new Clock(this.rigged::tenths, System::nanoTime);
+        this.faults = new InjectedFaults(faultFile);
+        settings = configuration.path("settings");
+        programDigest = versions == null && audit == null ? "" : ProgramDigests.digest();
+        hybridClock = new HybridLogicalClock(this.faults::wallTimeMs);
+        clock = faultFile == null ? new Clock() : new Clock(this.faults::wallTimeTenthsMs, System::nanoTime);
         this.audit = audit == null ? null : new AuditWriter(audit, name, nonce, "zone "
-                + (peers == null ? "" : peers.zone) + " text " + text + " policy " + Program.policy()
+                + (peers == null ? "" : peers.zone) + " text " + programDigest + " policy "
+                + ProgramDigests.policyDigest()
                 + " settings " + Digests.of(settings.toString().getBytes(java.nio.charset.StandardCharsets.UTF_8)),
-                time, this.rigged);
+                hybridClock, this.faults);
     }
 
     @Override
@@ -63,40 +65,44 @@
         if (peers == null) {
             return;
         }
-        LongSupplier tenths = clock::now;
-        VersionService agreement = versions == null ? null : new VersionService(versions.terms(), name, peers.zone,
-                text, nonce, new InstanceStore(rigged.disk(versions.directory()), name, versions.bound()),
-                chance.nextLong(), tenths, time, audit, new Held(chain));
+        LongSupplier clockTenthsMs = clock::now;
+        VersionService versionService = versions == null ? null : new VersionService(versions.config(), name,
+                peers.zone,
+                programDigest, nonce,
+                new InstanceStore(faults.openDisk(versions.directory()), name, versions.maxStoreBytes()),
+                random.nextLong(), clockTenthsMs, hybridClock, audit, new ManagedChain(chain));
         // Another process under its name ends this one as the notice to leave does: nothing that is held is lost.
-        peering = new PeerService(peers.pace, name, peers.zone, peers.listen, peers.others, nonce, chance.nextLong(),
-                new Limits(PEER_MEMORY, PEER_DESCRIPTORS), tenths, () -> Signal.raise(new Signal("TERM")), agreement);
-        peering.start();
+        peerService = new PeerService(peers.membership, name, peers.zone, peers.listen, peers.peerAddresses, nonce,
+                random.nextLong(),
+                new Limits(PEER_MEMORY_BYTES, MAX_PEER_DESCRIPTORS), clockTenthsMs,
+                () -> Signal.raise(new Signal("TERM")), versionService);
+        peerService.start();
     }
 
     @Override
     public void stop() {
-        if (peering != null) {
-            peering.leave();
+        if (peerService != null) {
+            peerService.leave();
         }
     }
 
     /** The instance as versions change it. */
-    private final class Held implements VersionService.ManagedInstance {
+    private final class ManagedChain implements VersionService.ManagedInstance {
         private final ProcessingChain chain;
 
-        Held(ProcessingChain chain) {
+        ManagedChain(ProcessingChain chain) {
             this.chain = chain;
         }
 
         @Override
         public String validate(byte[] content) {
             try {
-                JsonNode other = DeploymentReader.JSON.readTree(content);
-                String wrong = DeploymentReader.reloadObstacle(settings, other);
-                if (wrong == null) {
-                    new DeploymentReader(other);
+                JsonNode candidate = DeploymentReader.JSON.readTree(content);
+                String obstacle = DeploymentReader.reloadObstacle(settings, candidate);
+                if (obstacle == null) {
+                    new DeploymentReader(candidate);
                 }
-                return wrong;
+                return obstacle;
             } catch (IOException | IllegalArgumentException e) {
                 return "settings are of no use: " + String.valueOf(e.getMessage()).split("\n")[0];
             }
@@ -112,8 +118,8 @@
         }
 
         @Override
-        public void updateLease(long floor, long until) {
-            chain.updateLease(floor, until);
+        public void updateLease(long minVersion, long leaseUntil) {
+            chain.updateLease(minVersion, leaseUntil);
         }
     }
 }
--- a/lab/src/main/java/vetchrill/peering/Program.java
+++ b/lab/src/main/java/vetchrill/peering/ProgramDigests.java
@@ -12,16 +12,16 @@
 import vetchrill.versions.Digests;
 
 /** Which program this is, as digests: of its text, the jar or the folder of classes, and of the module alone. */
-public final class Program {
-    private Program() {
+public final class ProgramDigests {
+    private ProgramDigests() {
     }
 
-    public static String text() throws IOException {
-        return text(at());
+    public static String digest() throws IOException {
+        return digest(location());
     }
 
     /** Where the instance's program lies: a jar, or the folder of its classes. */
-    public static Path at() throws IOException {
+    public static Path location() throws IOException {
         try {
             return Path.of(OverloadController.class.getProtectionDomain().getCodeSource().getLocation().toURI());
         } catch (URISyntaxException e) {
@@ -30,24 +30,24 @@
     }
 
     /** The digest of the program that lies there. */
-    public static String text(Path at) throws IOException {
-        MessageDigest all = Digests.sha256();
-        if (Files.isRegularFile(at)) {
-            all.update(Files.readAllBytes(at));
+    public static String digest(Path location) throws IOException {
+        MessageDigest sha = Digests.sha256();
+        if (Files.isRegularFile(location)) {
+            sha.update(Files.readAllBytes(location));
         } else {
             List<Path> files;
-            try (var walk = Files.walk(at)) {
+            try (var walk = Files.walk(location)) {
                 files = walk.filter(Files::isRegularFile).sorted().toList();
             }
             for (Path each : files) {
-                all.update(at.relativize(each).toString().getBytes(java.nio.charset.StandardCharsets.UTF_8));
-                all.update(Files.readAllBytes(each));
+                sha.update(location.relativize(each).toString().getBytes(java.nio.charset.StandardCharsets.UTF_8));
+                sha.update(Files.readAllBytes(each));
             }
         }
-        return HexFormat.of().formatHex(all.digest());
+        return HexFormat.of().formatHex(sha.digest());
     }
 
-    public static String policy() throws IOException {
+    public static String policyDigest() throws IOException {
         try (InputStream in = OverloadController.class.getResourceAsStream("OverloadController.class")) {
             return Digests.of(in.readAllBytes());
         }
--- a/lab/src/main/java/vetchrill/planner/Answer.java
+++ b/lab/src/main/java/vetchrill/planner/Report.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 /** What is said to a question: remarks, tables and charts, to be shown as text, JSON or a page. */
-public final class Answer {
+public final class Report {
     /** Cells are texts, or numbers that each showing rounds. */
     public record Table(String title, List<String> columns, List<List<Object>> rows) {
-        public void row(Object... cells) {
+        public void addRow(Object... cells) {
             rows.add(List.of(cells));
         }
     }
@@ -24,25 +24,25 @@
     public final List<Table> tables = new ArrayList<>();
     public final List<Chart> charts = new ArrayList<>();
     /** What was asked for holds; false where a goal can't be met. */
-    public boolean holds = true;
+    public boolean goalMet = true;
 
-    public Answer(String title) {
+    public Report(String title) {
         this.title = title;
     }
 
-    public Table table(String title, String... columns) {
+    public Table addTable(String title, String... columns) {
         Table table = new Table(title, List.of(columns), new ArrayList<>());
         tables.add(table);
         return table;
     }
 
-    public Chart chart(String title, String xLabel, String yLabel) {
+    public Chart addChart(String title, String xLabel, String yLabel) {
         Chart chart = new Chart(title, xLabel, yLabel, new ArrayList<>());
         charts.add(chart);
         return chart;
     }
 
-    public void remark(String text) {
+    public void addRemark(String text) {
         if (!remarks.contains(text)) {
             remarks.add(text);
         }
--- a/lab/src/main/java/vetchrill/planner/Sample.java
+++ b/lab/src/main/java/vetchrill/planner/Sample.java
@@ -5,8 +5,8 @@
 
 /** Values seen, and what can be said of their mean and spread. */
 final class Sample {
-    private static final int RESAMPLED = 200;
-    private static final int ENOUGH = 4_000;
+    private static final int BOOTSTRAP_RESAMPLES = 200;
+    private static final int MAX_DRAWS = 4_000;
 
     private double[] values = new double[64];
     private int count;
@@ -40,27 +40,28 @@
     }
 
     /** The spread for the mean. */
-    double spread() {
+    double coefficientOfVariation() {
         return Math.sqrt(variance()) / mean();
     }
 
     /** Where the mean lies nine times of ten, by drawing again from what was seen. */
-    double[] meanInterval(SplittableRandom chance) {
+    double[] meanConfidenceInterval(SplittableRandom random) {
         if (count < 2) {
             return new double[] {mean(), mean()};
         }
-        double[] means = new double[RESAMPLED];
-        int draws = Math.min(count, ENOUGH);
-        double narrower = Math.sqrt(draws / (double) count);
-        for (int i = 0; i < RESAMPLED; i++) {
+        double[] means = new double[BOOTSTRAP_RESAMPLES];
+        int draws = Math.min(count, MAX_DRAWS);
+        double intervalScale = Math.sqrt(draws / (double) count);
+        for (int i = 0; i < BOOTSTRAP_RESAMPLES; i++) {
             double sum = 0;
             for (int j = 0; j < draws; j++) {
-                sum += values[chance.nextInt(count)];
+                sum += values[random.nextInt(count)];
             }
-            means[i] = mean() + (sum / draws - mean()) * narrower;
+            means[i] = mean() + (sum / draws - mean()) * intervalScale;
         }
         Arrays.sort(means);
-        return new double[] {means[RESAMPLED / 20], means[RESAMPLED - RESAMPLED / 20 - 1]};
+        return new double[] {means[BOOTSTRAP_RESAMPLES / 20],
+                means[BOOTSTRAP_RESAMPLES - BOOTSTRAP_RESAMPLES / 20 - 1]};
     }
 
     /** Without the tenth at either end. */
@@ -74,13 +75,13 @@
         return inner;
     }
 
-    double draw(SplittableRandom chance) {
-        return values[chance.nextInt(count)];
+    double draw(SplittableRandom random) {
+        return values[random.nextInt(count)];
     }
 
-    double quantile(double part) {
+    double quantile(double fraction) {
         double[] sorted = Arrays.copyOf(values, count);
         Arrays.sort(sorted);
-        return count == 0 ? Double.NaN : sorted[(int) Math.min(count - 1, part * count)];
+        return count == 0 ? Double.NaN : sorted[(int) Math.min(count - 1, fraction * count)];
     }
 }
--- a/lab/src/main/java/vetchrill/planner/Sweep.java
+++ b/lab/src/main/java/vetchrill/planner/SimulationRunner.java
@@ -9,61 +9,62 @@
 import java.util.concurrent.Future;
 import java.util.function.IntFunction;
 import vetchrill.fleet.Fleet;
-import vetchrill.model.Demand;
-import vetchrill.model.Run;
-import vetchrill.model.TimeWheel;
-import vetchrill.model.World;
+import vetchrill.model.Workload;
+import vetchrill.model.SimulationResult;
+import vetchrill.model.TimingWheelQueue;
+import vetchrill.model.FleetSimulation;
 
 /** Plays many worlds at once, each on one thread. What comes out hangs on the seeds alone, not on the threads. */
-public final class Sweep implements AutoCloseable {
-    private final ExecutorService threads;
-    public final int seeds;
+public final class SimulationRunner implements AutoCloseable {
+    private final ExecutorService executor;
+    public final int seedCount;
     /** What is counted of a run: from here on to the end of its span, in tenths of a millisecond. */
     public final long span;
-    public final long countFrom;
+    public final long countedFrom;
     private final Runnable progress;
 
     /** {@code progress} is called after each world, on any thread. */
-    public Sweep(int threads, int seeds, long span, long countFrom, Runnable progress) {
-        this.threads = Executors.newFixedThreadPool(threads, work -> {
+    public SimulationRunner(int threadCount, int seedCount, long span, long countedFrom, Runnable progress) {
+        this.executor = Executors.newFixedThreadPool(threadCount, work -> {
             Thread thread = new Thread(work, "sweep");
             thread.setDaemon(true);
             return thread;
         });
-        this.seeds = seeds;
+        this.seedCount = seedCount;
         this.span = span;
-        this.countFrom = countFrom;
+        this.countedFrom = countedFrom;
         this.progress = progress;
     }
 
-    public int fromSecond() {
-        return (int) (countFrom / Profile.SECOND);
+    public int countedFromSecond() {
+        return (int) (countedFrom / LoadProfile.SECOND_TENTHS_MS);
     }
 
-    public int toSecond() {
-        return (int) (span / Profile.SECOND);
+    public int countedToSecond() {
+        return (int) (span / LoadProfile.SECOND_TENTHS_MS);
     }
 
     /** One world for each seed. */
-    public List<Run> runs(Fleet fleet, Demand demand) {
-        return runs(fleet, demand, span);
+    public List<SimulationResult> simulate(Fleet fleet, Workload demand) {
+        return simulate(fleet, demand, span);
     }
 
-    public List<Run> runs(Fleet fleet, Demand demand, long span) {
-        return each(seeds, seed -> new World(fleet, demand, span, countFrom, 1_000 + seed, new TimeWheel()).run());
+    public List<SimulationResult> simulate(Fleet fleet, Workload demand, long span) {
+        return runTasks(seedCount, seed -> new FleetSimulation(fleet, demand, span, countedFrom, 1_000 + seed,
+                new TimingWheelQueue()).run());
     }
 
     /** The results of {@code n} tasks in their order. */
-    public <T> List<T> each(int n, IntFunction<T> task) {
+    public <T> List<T> runTasks(int taskCount, IntFunction<T> task) {
         List<Future<T>> futures = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
-            int number = i;
-            Callable<T> call = () -> {
-                T done = task.apply(number);
+        for (int i = 0; i < taskCount; i++) {
+            int index = i;
+            Callable<T> callable = () -> {
+                T result = task.apply(index);
                 progress.run();
-                return done;
+                return result;
             };
-            futures.add(threads.submit(call));
+            futures.add(executor.submit(callable));
         }
         List<T> results = new ArrayList<>();
         try {
@@ -80,13 +81,14 @@
     }
 
     /** The service of each run over what is counted. */
-    public Spread service(List<Run> runs) {
-        return Spread.ofShares(runs.stream().mapToDouble(run -> run.tally().service(fromSecond(),
-                toSecond())).toArray());
+    public ConfidenceInterval meanService(List<SimulationResult> runs) {
+        return ConfidenceInterval.ofShares(runs.stream()
+                .mapToDouble(run -> run.statistics().service(countedFromSecond(),
+                countedToSecond())).toArray());
     }
 
     @Override
     public void close() {
-        threads.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/lab/src/main/java/vetchrill/powerloss/FolderMedia.java
+++ b/lab/src/main/java/vetchrill/powerloss/FolderMedia.java
@@ -20,12 +20,12 @@
     }
 
     @Override
-    public List<String> names() throws IOException {
+    public List<String> fileNames() throws IOException {
         return disk.fileNames();
     }
 
     @Override
-    public byte[] read(String name) throws IOException {
+    public byte[] readFile(String name) throws IOException {
         return disk.readFile(name);
     }
 
@@ -35,11 +35,11 @@
     }
 
     @Override
-    public void write(String name, int at, byte[] bytes, int from, int size) throws IOException {
+    public void write(String name, int offset, byte[] bytes, int from, int size) throws IOException {
         try (FileChannel channel = FileChannel.open(folder.resolve(name), StandardOpenOption.WRITE)) {
-            ByteBuffer left = ByteBuffer.wrap(bytes, from, size);
-            for (long to = at; left.hasRemaining();) {
-                to += channel.write(left, to);
+            ByteBuffer remaining = ByteBuffer.wrap(bytes, from, size);
+            for (long position = offset; remaining.hasRemaining();) {
+                position += channel.write(remaining, position);
             }
         }
     }
--- a/lab/src/main/java/vetchrill/powerloss/MemoryMedia.java
+++ b/lab/src/main/java/vetchrill/powerloss/MemoryMedia.java
@@ -14,17 +14,17 @@
     }
 
     /** The same files, to be changed apart. */
-    public MemoryMedia(MemoryMedia like) {
-        like.files.forEach((name, bytes) -> files.put(name, bytes.clone()));
+    public MemoryMedia(MemoryMedia source) {
+        source.files.forEach((name, bytes) -> files.put(name, bytes.clone()));
     }
 
     @Override
-    public List<String> names() {
+    public List<String> fileNames() {
         return List.copyOf(files.keySet());
     }
 
     @Override
-    public byte[] read(String name) throws IOException {
+    public byte[] readFile(String name) throws IOException {
         byte[] bytes = files.get(name);
         if (bytes == null) {
             throw new FileNotFoundException(name);
@@ -38,11 +38,11 @@
     }
 
     @Override
-    public void write(String name, int at, byte[] bytes, int from, int size) {
-        byte[] was = files.getOrDefault(name, new byte[0]);
-        byte[] is = Arrays.copyOf(was, Math.max(was.length, at + size));
-        System.arraycopy(bytes, from, is, at, size);
-        files.put(name, is);
+    public void write(String name, int offset, byte[] bytes, int from, int size) {
+        byte[] before = files.getOrDefault(name, new byte[0]);
+        byte[] after = Arrays.copyOf(before, Math.max(before.length, offset + size));
+        System.arraycopy(bytes, from, after, offset, size);
+        files.put(name, after);
     }
 
     @Override
@@ -59,17 +59,17 @@
     }
 
     /** Octets of all files. */
-    public long size() {
+    public long totalBytes() {
         return files.values().stream().mapToLong(each -> each.length).sum();
     }
 
     /** One octet is changed, or all from there on are gone. */
-    public void spoil(String name, int at, boolean cut) {
+    public void damage(String name, int offset, boolean truncate) {
         byte[] bytes = files.get(name);
-        if (cut) {
-            files.put(name, Arrays.copyOf(bytes, at));
+        if (truncate) {
+            files.put(name, Arrays.copyOf(bytes, offset));
         } else {
-            bytes[at] ^= 0x41;
+            bytes[offset] ^= 0x41;
         }
     }
 }
--- a/lab/src/main/java/vetchrill/standin/Interpreter.java
+++ b/lab/src/main/java/vetchrill/standin/FakeInterpreter.java
@@ -17,9 +17,9 @@
  * The interpreter's side of its link: it takes commands, numbers notices and keeps the last of them for whoever
  * connects again. How work is done is left to whoever makes it.
  */
-public final class Interpreter implements Closeable {
+public final class FakeInterpreter implements Closeable {
     /** Called on the link's thread. */
-    public interface Work {
+    public interface CommandHandler {
         void apply(String id, String group, byte[] body) throws IOException;
 
         /** The gauges as words between blanks; null to leave the question unanswered. */
@@ -29,58 +29,58 @@
          * A link was opened by someone who has read the notices up to {@code lastRead}; false to withhold the
          * banner.
          */
-        default boolean connected(int lastRead) {
+        default boolean onConnect(int lastRead) {
             return true;
         }
     }
 
-    private static final int KEPT = 4_000;
+    private static final int MAX_RETAINED_NOTICES = 4_000;
 
     private record Notice(int number, byte[] bytes) {
     }
 
     private final ServerSocket server;
-    private final Work work;
+    private final CommandHandler handler;
     /** A fresh one starts when it first speaks: until then it is not up. */
-    private long started;
-    private volatile boolean fresh;
+    private long startedNanos;
+    private volatile boolean newlyStarted;
     private volatile Socket link;
-    private int numbered;
-    private final ArrayDeque<Notice> kept = new ArrayDeque<>();
+    private int lastNoticeNumber;
+    private final ArrayDeque<Notice> retainedNotices = new ArrayDeque<>();
 
     /** {@code fresh} is told as a start of just now, else it has run for a minute. */
-    public Interpreter(Work work, boolean fresh) throws IOException {
-        this.work = work;
-        this.fresh = fresh;
-        started = fresh ? 0 : System.nanoTime() - 60_000_000_000L;
+    public FakeInterpreter(CommandHandler handler, boolean newlyStarted) throws IOException {
+        this.handler = handler;
+        this.newlyStarted = newlyStarted;
+        startedNanos = newlyStarted ? 0 : System.nanoTime() - 60_000_000_000L;
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        Peers.accept(server, this::talk);
+        LoopbackServers.acceptConnections(server, this::serveLink);
     }
 
-    private void talk(Socket socket) throws IOException {
-        Socket before = link;
+    private void serveLink(Socket socket) throws IOException {
+        Socket previous = link;
         link = socket;
-        if (before != null) {
-            before.close();
+        if (previous != null) {
+            previous.close();
         }
         InputStream in = new BufferedInputStream(socket.getInputStream());
-        for (String line = Peers.line(in); line != null; line = Peers.line(in)) {
+        for (String line = LoopbackServers.readLine(in); line != null; line = LoopbackServers.readLine(in)) {
             String[] words = line.split(" ");
             switch (words[0]) {
                 case "APPLY" -> {
                     byte[] body = in.readNBytes(Integer.parseInt(words[3]) + 2);
-                    work.apply(words[1], words[2], java.util.Arrays.copyOf(body, body.length - 2));
+                    handler.apply(words[1], words[2], java.util.Arrays.copyOf(body, body.length - 2));
                 }
                 case "TOP" -> {
-                    String gauges = work.gauges();
+                    String gauges = handler.gauges();
                     if (gauges != null) {
                         write("TOPS " + words[1] + " " + gauges + "\r\n");
                     }
                 }
                 case "CONNECT" -> {
                     int lastRead = Integer.parseInt(words[1]);
-                    if (work.connected(lastRead)) {
-                        banner(lastRead);
+                    if (handler.onConnect(lastRead)) {
+                        sendBanner(lastRead);
                     }
                 }
                 default -> {
@@ -95,36 +95,37 @@
     }
 
     /** The same interpreter at another address: its notices and their numbers carry on. */
-    public synchronized Interpreter moved(Work work) throws IOException {
-        Interpreter to = new Interpreter(work, fresh);
-        synchronized (to) {
-            to.kept.addAll(kept);
-            to.numbered = numbered;
+    public synchronized FakeInterpreter copyAtNewPort(CommandHandler handler) throws IOException {
+        FakeInterpreter copy = new FakeInterpreter(handler, newlyStarted);
+        synchronized (copy) {
+            copy.retainedNotices.addAll(retainedNotices);
+            copy.lastNoticeNumber = lastNoticeNumber;
         }
-        return to;
+        return copy;
     }
 
-    public synchronized void banner(int after) throws IOException {
-        started = started == 0 ? System.nanoTime() : started;
-        write("BANNER " + (fresh ? "new " : "old ") + (System.nanoTime() - started) / 1_000_000 + "\r\n");
-        List<Notice> all = new ArrayList<>(kept);
-        for (Notice notice : all) {
-            if (notice.number > after) {
+    public synchronized void sendBanner(int lastRead) throws IOException {
+        startedNanos = startedNanos == 0 ? System.nanoTime() : startedNanos;
+        write("BANNER " + (newlyStarted ? "new " : "old ") + (System.nanoTime() - startedNanos) / 1_000_000 + "\r\n");
+        List<Notice> notices = new ArrayList<>(retainedNotices);
+        for (Notice notice : notices) {
+            if (notice.number > lastRead) {
                 write(notice.bytes);
             }
         }
     }
 
     /** Tells how a run ended, after {@code took} tenths of a millisecond; kept while there is no link. */
-    public synchronized void value(String id, String end, long took, byte[] result) {
+    public synchronized void sendValue(String id, String status, long duration, byte[] result) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(result.length + 64);
-        bytes.writeBytes(("VALUE " + ++numbered + " " + id + " " + end + " " + took / 10 + "." + took % 10 + " "
+        bytes.writeBytes(("VALUE " + ++lastNoticeNumber + " " + id + " " + status + " " + duration / 10 + "."
+                + duration % 10 + " "
                 + result.length + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
         bytes.writeBytes(result);
         bytes.writeBytes(new byte[] {'\r', '\n'});
-        kept.add(new Notice(numbered, bytes.toByteArray()));
-        if (kept.size() > KEPT) {
-            kept.poll();
+        retainedNotices.add(new Notice(lastNoticeNumber, bytes.toByteArray()));
+        if (retainedNotices.size() > MAX_RETAINED_NOTICES) {
+            retainedNotices.poll();
         }
         try {
             if (link != null && !link.isClosed()) {
@@ -144,7 +145,7 @@
     }
 
     /** Closes the link of now; another may be opened. */
-    public void cut() throws IOException {
+    public void closeLink() throws IOException {
         if (link != null) {
             link.close();
         }
@@ -153,6 +154,6 @@
     @Override
     public void close() throws IOException {
         server.close();
-        cut();
+        closeLink();
     }
 }
--- a/lab/src/main/java/vetchrill/standin/Seat.java
+++ b/lab/src/main/java/vetchrill/standin/InstanceProcess.java
@@ -11,27 +11,27 @@
 import java.util.Locale;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
-import vetchrill.fleet.Briefing;
+import vetchrill.fleet.DeploymentSettings;
 import vetchrill.fleet.Fleet;
-import vetchrill.fleet.Fleet.Kind;
+import vetchrill.fleet.Fleet.MachineKind;
 import vetchrill.protocol.DeploymentReader;
 
 /**
  * Where one relay stands: its machine, its interpreter, and the real instance, which may be started again and again.
  */
-final class Seat implements Closeable {
+final class InstanceProcess implements Closeable {
     /** What the interpreter needs to know of an exchange that may come to it. */
-    static final class Due {
-        private final double work;
+    static final class ExpectedExchange {
+        private final double coreTime;
         private final byte[] body;
         private final boolean mutating;
         /** Its try has ended for its stub: nothing is started for it any more. */
-        volatile boolean over;
-        private boolean begun;
+        volatile boolean attemptEnded;
+        private boolean started;
         private boolean running;
 
-        Due(double work, byte[] body, boolean mutating) {
-            this.work = work;
+        ExpectedExchange(double coreTime, byte[] body, boolean mutating) {
+            this.coreTime = coreTime;
             this.body = body;
             this.mutating = mutating;
         }
@@ -39,93 +39,97 @@
 
     private final Fleet fleet;
     private final Path folder;
-    private final int membership;
+    private final int membershipPort;
     /** Milliseconds until what an instance records is in its file; 0 where nothing is recorded. */
-    private final int flush;
+    private final int captureFlushMs;
     final int number;
     final int zone;
-    final Kind kind;
+    final MachineKind kind;
     final String name;
     final int port;
-    final Machine machine;
+    final EmulatedMachine machine;
     /** By id, what came or is on its way to this relay. */
-    final ConcurrentHashMap<String, Due> due = new ConcurrentHashMap<>();
-    volatile int doubleRuns;
-    volatile int changedBodies;
-    private Interpreter interpreter;
+    final ConcurrentHashMap<String, ExpectedExchange> expectedExchanges = new ConcurrentHashMap<>();
+    volatile int duplicateRuns;
+    volatile int corruptedBodies;
+    private FakeInterpreter interpreter;
     volatile Process process;
     /** Counts its processes; what belongs to an earlier one is over. */
-    volatile int life;
+    volatile int incarnation;
     private final long seed;
 
-    Seat(Fleet fleet, Path folder, int membership, int flush, int number, int zone, Kind kind, long seed)
+    InstanceProcess(Fleet fleet, Path folder, int membershipPort, int captureFlushMs, int number, int zone,
+            MachineKind kind, long seed)
             throws IOException {
         this.fleet = fleet;
         this.folder = folder;
-        this.membership = membership;
-        this.flush = flush;
+        this.membershipPort = membershipPort;
+        this.captureFlushMs = captureFlushMs;
         this.number = number;
         this.zone = zone;
         this.kind = kind;
         this.seed = seed;
         name = "r" + (number + 1);
-        machine = new Machine(kind);
-        port = Ports.free();
+        machine = new EmulatedMachine(kind);
+        port = Ports.findFree();
     }
 
     /** Starts a process; what it is told and what it logs stay in the rig's folder. */
     synchronized void start(boolean cold) throws IOException {
-        life++;
-        int of = life;
+        incarnation++;
+        int thisIncarnation = incarnation;
         if (interpreter != null) {
             interpreter.close();
         }
-        interpreter = new Interpreter(new Interpreter.Work() {
+        interpreter = new FakeInterpreter(new FakeInterpreter.CommandHandler() {
             private boolean asked;
 
             @Override
             public void apply(String id, String group, byte[] body) throws IOException {
-                Seat.this.apply(of, id, body);
+                InstanceProcess.this.apply(thisIncarnation, id, body);
             }
 
             @Override
             public String gauges() {
-                double[] now = machine.gauges();
-                return String.format(Locale.ROOT, "%.4f %.0f 0 0", now[0], now[1]);
+                double[] gauges = machine.sampleGauges();
+                return String.format(Locale.ROOT, "%.4f %.0f 0 0", gauges[0], gauges[1]);
             }
 
             @Override
-            public boolean connected(int lastRead) {
+            public boolean onConnect(int lastRead) {
                 if (cold && !asked) {
-                    machine.start(true);
+                    machine.restart(true);
                 }
                 asked = true;
                 return true;
             }
         }, cold);
-        ObjectNode told = DeploymentReader.JSON.createObjectNode();
-        told.put("name", name).put("listen", "127.0.0.1:" + port).put("vm", "127.0.0.1:" + interpreter.port())
-                .put("members", "127.0.0.1:" + membership).put("seed", String.format("%016x", seed + 977L * life))
-                .put("stop_ms", fleet.rules.stop() / 10);
-        told.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", kind.descriptors());
-        told.set("settings", Briefing.of(fleet, kind, false));
-        Path file = folder.resolve(name + "-" + life + ".json");
-        Files.writeString(file, told.toString());
+        ObjectNode config = DeploymentReader.JSON.createObjectNode();
+        config.put("name", name).put("listen", "127.0.0.1:" + port).put("vm", "127.0.0.1:" + interpreter.port())
+                .put("members", "127.0.0.1:" + membershipPort)
+                .put("seed", String.format("%016x", seed + 977L * incarnation))
+                .put("stop_ms", fleet.rules.stopTimeout() / 10);
+        config.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", kind.descriptors());
+        config.set("settings", DeploymentSettings.of(fleet, kind, false));
+        Path configFile = folder.resolve(name + "-" + incarnation + ".json");
+        Files.writeString(configFile, config.toString());
         List<String> command = new ArrayList<>(List.of(System.getProperty("java.home") + "/bin/java",
                 "-XX:+UseSerialGC",
                 "-XX:TieredStopAtLevel=1", "-Xshare:auto", "-Xms16m", "-Xmx96m",
                 "--add-opens=java.base/java.nio=ALL-UNNAMED", "-cp", classPath()));
-        if (flush > 0) {
-            Path operator = folder.resolve(name + ".hcl");
-            Files.writeString(operator, "capture {\n  directory = \"" + folder.resolve("captures") + "\"\n  zone = \""
+        if (captureFlushMs > 0) {
+            Path operatorFile = folder.resolve(name + ".hcl");
+            Files.writeString(operatorFile, "capture {\n  directory = \"" + folder.resolve("captures")
+                    + "\"\n  zone = \""
                     + fleet.zones.get(zone).name() + "\"\n  kind = \"" + kind.name()
-                    + "\"\n  subject_key = \"000102030405060708090a0b0c0d0e0f\"\n  flush_ms = " + flush + "\n}\n");
-            command.addAll(List.of("vetchrill.tool.Vetchrill", "serve", "--operator", operator.toString()));
+                    + "\"\n  subject_key = \"000102030405060708090a0b0c0d0e0f\"\n  flush_ms = " + captureFlushMs
+                    + "\n}\n");
+            command.addAll(List.of("vetchrill.tool.Vetchrill", "serve", "--operator", operatorFile.toString()));
         } else {
             command.addAll(List.of("vetchrill.Main", "serve"));
         }
         ProcessBuilder builder = new ProcessBuilder(command);
-        builder.environment().put("GW_CONFIG", file.toString());
+        builder.environment().put("GW_CONFIG", configFile.toString());
         builder.environment().remove("GW_NAME");
         builder.environment().remove("GW_LISTEN");
         builder.redirectErrorStream(true);
@@ -138,66 +142,66 @@
         return System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"));
     }
 
-    private void apply(int of, String id, byte[] body) throws IOException {
-        Due each = due.get(id);
-        Interpreter to = interpreter;
-        if (each == null || of != life) {
-            to.write("ERROR APPLY " + id + "\r\n");
+    private void apply(int ofIncarnation, String id, byte[] body) throws IOException {
+        ExpectedExchange exchange = expectedExchanges.get(id);
+        FakeInterpreter linkedInterpreter = interpreter;
+        if (exchange == null || ofIncarnation != incarnation) {
+            linkedInterpreter.write("ERROR APPLY " + id + "\r\n");
             return;
         }
-        if (!java.util.Arrays.equals(body, each.body)) {
-            changedBodies++;
+        if (!java.util.Arrays.equals(body, exchange.body)) {
+            corruptedBodies++;
         }
-        synchronized (each) {
-            if (each.running) {
+        synchronized (exchange) {
+            if (exchange.running) {
                 return;
             }
-            if (each.over) {
-                to.value(id, "gone", 0, new byte[0]);
+            if (exchange.attemptEnded) {
+                linkedInterpreter.sendValue(id, "gone", 0, new byte[0]);
                 return;
             }
-            if (each.begun && each.mutating) {
-                doubleRuns++;
+            if (exchange.started && exchange.mutating) {
+                duplicateRuns++;
                 return;
             }
-            each.begun = true;
-            each.running = true;
+            exchange.started = true;
+            exchange.running = true;
         }
-        long began = System.nanoTime();
-        machine.work(each.work, () -> {
-            if (of == life) {
-                synchronized (each) {
-                    each.running = false;
+        long startNanos = System.nanoTime();
+        machine.execute(exchange.coreTime, () -> {
+            if (ofIncarnation == incarnation) {
+                synchronized (exchange) {
+                    exchange.running = false;
                 }
-                to.value(id, "good", (System.nanoTime() - began) / 100_000, result(id));
+                linkedInterpreter.sendValue(id, "good", (System.nanoTime() - startNanos) / 100_000, resultOf(id));
             }
         });
     }
 
-    static byte[] result(String id) {
+    static byte[] resultOf(String id) {
         return ("result of " + id).getBytes(StandardCharsets.US_ASCII);
     }
 
-    boolean up() {
-        Process now = process;
-        return now != null && now.isAlive();
+    boolean isUp() {
+        Process current = process;
+        return current != null && current.isAlive();
     }
 
     /** As its machine goes: with no word to anybody. */
     synchronized void kill() throws IOException {
-        life++;
+        incarnation++;
         if (process != null) {
             process.destroyForcibly();
         }
         if (interpreter != null) {
             interpreter.close();
         }
-        machine.start(false);
+        machine.restart(false);
     }
 
     /** The interpreter's link, which the instance opens again. */
-    void cutLink() throws IOException {
-        interpreter.cut();
+    void closeInterpreterLink() throws IOException {
+        interpreter.closeLink();
     }
 
     void drain() {
@@ -206,7 +210,7 @@
 
     @Override
     public void close() throws IOException {
-        life++;
+        incarnation++;
         machine.close();
         if (process != null) {
             process.destroyForcibly();
@@ -222,7 +226,7 @@
     }
 
     /** Ends it in its order, so that what it recorded is whole. */
-    void end() {
+    void shutDown() {
         if (process != null && process.isAlive()) {
             drain();
         }
--- a/lab/src/main/java/vetchrill/standin/Between.java
+++ b/lab/src/main/java/vetchrill/standin/LinkProxy.java
@@ -13,30 +13,30 @@
  * The way from one process to another, which can go wrong: what goes there, what comes back, each swallowed or held up
  * for a while, and all connections cut between any two bytes.
  */
-public final class Between implements Closeable {
+public final class LinkProxy implements Closeable {
     private final ServerSocket server;
     private volatile InetSocketAddress target;
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     /** Nothing arrives this way any more, and nobody is told: as it is with a cut cable. */
-    public volatile boolean swallowsThere;
-    public volatile boolean swallowsBack;
+    public volatile boolean dropsToTarget;
+    public volatile boolean dropsFromTarget;
     /** Milliseconds that each piece is held up, in either direction. */
-    public volatile int delay;
+    public volatile int delayMs;
 
-    public Between(InetSocketAddress target) throws IOException {
+    public LinkProxy(InetSocketAddress target) throws IOException {
         this.target = target;
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        Peers.accept(server, from -> {
-            try (Socket to = new Socket()) {
-                to.connect(this.target, 2_000);
-                to.setTcpNoDelay(true);
-                sockets.add(from);
-                sockets.add(to);
-                Thread back = Peers.daemon("back", () -> pump(to, from, false));
-                back.start();
-                pump(from, to, true);
+        LoopbackServers.acceptConnections(server, client -> {
+            try (Socket upstream = new Socket()) {
+                upstream.connect(this.target, 2_000);
+                upstream.setTcpNoDelay(true);
+                sockets.add(client);
+                sockets.add(upstream);
+                Thread returnPump = LoopbackServers.daemonThread("back", () -> pump(upstream, client, false));
+                returnPump.start();
+                pump(client, upstream, true);
             } finally {
-                sockets.remove(from);
+                sockets.remove(client);
             }
         });
     }
@@ -45,21 +45,22 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
     }
 
-    private void pump(Socket from, Socket to, boolean there) {
-        byte[] buf = new byte[4 << 10];
-        boolean swallowed = false;
+    private void pump(Socket from, Socket to, boolean toTarget) {
+        byte[] buffer = new byte[4 << 10];
+        boolean dropped = false;
         try {
-            for (int got = from.getInputStream().read(buf); got >= 0; got = from.getInputStream().read(buf)) {
-                if (delay > 0) {
-                    Thread.sleep(delay);
+            for (int count = from.getInputStream().read(buffer); count >= 0; count = from.getInputStream()
+                    .read(buffer)) {
+                if (delayMs > 0) {
+                    Thread.sleep(delayMs);
                 }
-                if (there ? swallowsThere : swallowsBack) {
-                    swallowed = true;
-                } else if (swallowed) {
+                if (toTarget ? dropsToTarget : dropsFromTarget) {
+                    dropped = true;
+                } else if (dropped) {
                     // A stream with a hole in it would be another fault: it starts anew, as after a long cut.
                     break;
                 } else {
-                    to.getOutputStream().write(buf, 0, got);
+                    to.getOutputStream().write(buffer, 0, count);
                 }
             }
         } catch (IOException e) {
@@ -73,14 +74,14 @@
     }
 
     /** From now on it leads to another process. */
-    public void leadsTo(InetSocketAddress other) {
-        target = other;
-        cut();
+    public void redirectTo(InetSocketAddress newTarget) {
+        target = newTarget;
+        closeConnections();
     }
 
     /** All connections of now; others may be opened. */
-    public void cut() {
-        sockets.forEach(Between::close);
+    public void closeConnections() {
+        sockets.forEach(LinkProxy::close);
     }
 
     private static void close(Socket socket) {
@@ -94,6 +95,6 @@
     @Override
     public void close() throws IOException {
         server.close();
-        cut();
+        closeConnections();
     }
 }
--- a/lab/src/main/java/vetchrill/standin/Peers.java
+++ b/lab/src/main/java/vetchrill/standin/LoopbackServers.java
@@ -6,29 +6,29 @@
 import java.net.Socket;
 
 /** What all stand-ins do alike: take peers on loopback, a thread for each, and read lines. */
-final class Peers {
-    interface Talk {
-        void with(Socket socket) throws IOException;
+final class LoopbackServers {
+    interface ConnectionHandler {
+        void handle(Socket socket) throws IOException;
     }
 
-    private Peers() {
+    private LoopbackServers() {
     }
 
-    static Thread daemon(String name, Runnable work) {
+    static Thread daemonThread(String name, Runnable work) {
         Thread thread = new Thread(null, work, name, 256 << 10);
         thread.setDaemon(true);
         return thread;
     }
 
-    static void accept(ServerSocket server, Talk talk) {
-        daemon("stand-in", () -> {
+    static void acceptConnections(ServerSocket server, ConnectionHandler handler) {
+        daemonThread("stand-in", () -> {
             try {
                 while (true) {
                     Socket socket = server.accept();
-                    daemon("peer", () -> {
+                    daemonThread("peer", () -> {
                         try (socket) {
                             socket.setTcpNoDelay(true);
-                            talk.with(socket);
+                            handler.handle(socket);
                         } catch (IOException e) {
                             // The other side has closed it, or the stand-in has.
                         }
@@ -41,7 +41,7 @@
     }
 
     /** Without its end; null at the end of the input. */
-    static String line(InputStream in) throws IOException {
+    static String readLine(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int c = in.read(); c != '\n'; c = in.read()) {
             if (c < 0) {
--- a/lab/src/main/java/vetchrill/standin/StubFrames.java
+++ b/lab/src/main/java/vetchrill/standin/StubFrames.java
@@ -15,7 +15,7 @@
     public static final int EXCHANGE = 2;
     public static final int ANSWER = 4;
     public static final int CHECK = 16;
-    public static final int NOTHING_NEW = 64;
+    public static final int GO_AWAY = 64;
     public static final int COMPLETED = 79;
     public static final int DENIED = 66;
     public static final int TERMINATED = 69;
@@ -70,22 +70,22 @@
         }
         int type = in.readUnsignedByte();
         int stream = in.readInt();
-        byte[] rest = in.readNBytes(length - 5);
-        if (rest.length < length - 5) {
+        byte[] payload = in.readNBytes(length - 5);
+        if (payload.length < length - 5) {
             return null;
         }
         Map<String, String> fields = new HashMap<>();
-        int code = rest.length == 0 ? 0 : rest[0] & 0xff;
-        int at = 2;
-        for (int i = 0; rest.length > 1 && i < (rest[1] & 0xff); i++) {
-            int size = rest[at] & 0xff;
-            String name = new String(rest, at + 1, size, StandardCharsets.ISO_8859_1);
-            at += 1 + size;
-            int valueSize = (rest[at] & 0xff) << 8 | rest[at + 1] & 0xff;
-            fields.put(name, new String(rest, at + 2, valueSize, StandardCharsets.ISO_8859_1));
-            at += 2 + valueSize;
+        int code = payload.length == 0 ? 0 : payload[0] & 0xff;
+        int offset = 2;
+        for (int i = 0; payload.length > 1 && i < (payload[1] & 0xff); i++) {
+            int nameSize = payload[offset] & 0xff;
+            String name = new String(payload, offset + 1, nameSize, StandardCharsets.ISO_8859_1);
+            offset += 1 + nameSize;
+            int valueSize = (payload[offset] & 0xff) << 8 | payload[offset + 1] & 0xff;
+            fields.put(name, new String(payload, offset + 2, valueSize, StandardCharsets.ISO_8859_1));
+            offset += 2 + valueSize;
         }
         return new Frame(type, stream, code, fields,
-                rest.length <= at ? new byte[0] : java.util.Arrays.copyOfRange(rest, at, rest.length));
+                payload.length <= offset ? new byte[0] : java.util.Arrays.copyOfRange(payload, offset, payload.length));
     }
 }
--- a/lab/src/main/java/vetchrill/tool/Recorders.java
+++ b/lab/src/main/java/vetchrill/tool/CompositeRecorder.java
@@ -3,19 +3,19 @@
 import vetchrill.routing.Recorder;
 
 /** Two that write down what one instance does. */
-final class Recorders implements Recorder {
+final class CompositeRecorder implements Recorder {
     private final Recorder first;
     private final Recorder second;
     private final ExchangeRow row = new ExchangeRow();
 
-    private Recorders(Recorder first, Recorder second) {
+    private CompositeRecorder(Recorder first, Recorder second) {
         this.first = first;
         this.second = second;
     }
 
     /** Either may be null. */
-    static Recorder both(Recorder first, Recorder second) {
-        return first == null ? second : second == null ? first : new Recorders(first, second);
+    static Recorder combine(Recorder first, Recorder second) {
+        return first == null ? second : second == null ? first : new CompositeRecorder(first, second);
     }
 
     @Override
@@ -34,11 +34,11 @@
         put(row, second);
     }
 
-    private static void put(ExchangeRow row, Recorder to) {
-        ExchangeRow its = to.claimExchangeRow();
-        if (its != null) {
-            its.copyFrom(row);
-            to.put(its);
+    private static void put(ExchangeRow row, Recorder recorder) {
+        ExchangeRow target = recorder.claimExchangeRow();
+        if (target != null) {
+            target.copyFrom(row);
+            recorder.put(target);
         }
     }
 
--- a/lab/src/main/java/vetchrill/tool/CostCommand.java
+++ b/lab/src/main/java/vetchrill/tool/CostCommand.java
@@ -19,12 +19,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import vetchrill.fleet.Briefing;
+import vetchrill.fleet.DeploymentSettings;
 import vetchrill.fleet.Fleet;
 import vetchrill.protocol.DeploymentReader;
 import vetchrill.files.Folders;
-import vetchrill.standin.Interpreter;
-import vetchrill.standin.Membership;
+import vetchrill.standin.FakeInterpreter;
+import vetchrill.standin.FakeMembershipService;
 import vetchrill.standin.Ports;
 import vetchrill.standin.StubFrames;
 
@@ -36,21 +36,21 @@
         description = "Flood an instance of each of two jars in turn, each held to one core; core time an exchange of "
                 + "both, by connections.")
 final class CostCommand implements Callable<Integer> {
-    private static final int OPEN = 8;
+    private static final int EXCHANGES_PER_CONNECTION = 8;
     private static final int WARM_UP_MS = 2_000;
 
     @Parameters(index = "0", paramLabel = "THEN", description = "The instance's jar as it was.")
-    private Path then;
+    private Path oldJar;
 
     @Parameters(index = "1", paramLabel = "NOW", description = "And as it is.")
-    private Path now;
+    private Path newJar;
 
     @Option(names = "--commit", defaultValue = "?",
             description = "What the first one was built from, for the last line.")
     private String commit;
 
     @Option(names = "--connections", split = ",", defaultValue = "1,4,16,40", description = "With "
-            + OPEN + " exchanges open on each (${DEFAULT-VALUE}).")
+            + EXCHANGES_PER_CONNECTION + " exchanges open on each (${DEFAULT-VALUE}).")
     private List<Integer> connections;
 
     @Option(names = "--rounds", defaultValue = "5", description = "Of each jar (${DEFAULT-VALUE}).")
@@ -60,7 +60,7 @@
     private int seconds;
 
     @Option(names = "--java", paramLabel = "OPTION", description = "Further options of the instances' runtime.")
-    private List<String> further = List.of();
+    private List<String> javaOptions = List.of();
 
     @Option(names = "--audit", description = "The second one with versions and a record, as an operator's file says, "
             + "and with peers that are not there.")
@@ -68,48 +68,52 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        double[] sums = new double[2];
+        double[] medianSums = new double[2];
         System.out.println("core time an exchange in us: the least, the middle and the most of the rounds of each");
-        for (int open : connections) {
-            double[][] us = new double[2][rounds];
+        for (int connectionCount : connections) {
+            double[][] coreTimesUs = new double[2][rounds];
             for (int round = 0; round < rounds; round++) {
                 // Whatever else the machine does falls on both, and neither is always the first.
                 for (int i = 0; i < 2; i++) {
-                    int which = (round + i) % 2;
-                    us[which][round] = flood(which == 0 ? then : now, open, audit && which == 1);
+                    int jarIndex = (round + i) % 2;
+                    coreTimesUs[jarIndex][round] = measureCoreTimeUs(jarIndex == 0 ? oldJar : newJar, connectionCount,
+                            audit && jarIndex == 1);
                 }
             }
             for (int i = 0; i < 2; i++) {
-                Arrays.sort(us[i]);
-                sums[i] += us[i][rounds / 2];
+                Arrays.sort(coreTimesUs[i]);
+                medianSums[i] += coreTimesUs[i][rounds / 2];
             }
             System.out.printf(Locale.ROOT,
-                    "%3d connections: then %.2f %.2f %.2f, now %.2f %.2f %.2f, ratio %.3f%n", open, us[0][0],
-                    us[0][rounds / 2], us[0][rounds - 1], us[1][0], us[1][rounds / 2], us[1][rounds - 1],
-                    us[1][rounds / 2] / us[0][rounds / 2]);
+                    "%3d connections: then %.2f %.2f %.2f, now %.2f %.2f %.2f, ratio %.3f%n", connectionCount,
+                    coreTimesUs[0][0],
+                    coreTimesUs[0][rounds / 2], coreTimesUs[0][rounds - 1], coreTimesUs[1][0],
+                    coreTimesUs[1][rounds / 2], coreTimesUs[1][rounds - 1],
+                    coreTimesUs[1][rounds / 2] / coreTimesUs[0][rounds / 2]);
         }
         System.out.printf(Locale.ROOT, "measure cost: commit=%s us_then=%.2f us_now=%.2f ratio=%.3f%n", commit,
-                sums[0] / connections.size(), sums[1] / connections.size(), sums[1] / sums[0]);
+                medianSums[0] / connections.size(), medianSums[1] / connections.size(), medianSums[1] / medianSums[0]);
         return 0;
     }
 
-    private static Path operator() throws IOException {
+    private static Path writeOperatorFile() throws IOException {
         Path folder = Files.createTempDirectory("vetchrill-cost");
         Path file = folder.resolve("operator.hcl");
         Files.writeString(file, String.format("peers {%n  listen = \"127.0.0.1:%d\"%n}%nversions {%n"
-                + "  directory = \"%s\"%n  keepers = [\"f\"]%n}%naudit {%n  directory = \"%s\"%n}%n", Ports.free(),
+                + "  directory = \"%s\"%n  keepers = [\"f\"]%n}%naudit {%n  directory = \"%s\"%n}%n", Ports.findFree(),
                 folder.resolve("state"), folder.resolve("audit")));
         return file;
     }
 
-    private double flood(Path jar, int connections, boolean audited) throws IOException, InterruptedException {
-        Fleet fleet = TryCommand.small();
-        CountDownLatch up = new CountDownLatch(1);
-        Interpreter[] interpreter = new Interpreter[1];
-        interpreter[0] = new Interpreter(new Interpreter.Work() {
+    private double measureCoreTimeUs(Path jar, int connections, boolean audited) throws IOException,
+            InterruptedException {
+        Fleet fleet = TryCommand.smallFleet();
+        CountDownLatch started = new CountDownLatch(1);
+        FakeInterpreter[] interpreter = new FakeInterpreter[1];
+        interpreter[0] = new FakeInterpreter(new FakeInterpreter.CommandHandler() {
             @Override
             public void apply(String id, String group, byte[] body) {
-                interpreter[0].value(id, "good", 1, body);
+                interpreter[0].sendValue(id, "good", 1, body);
             }
 
             @Override
@@ -117,27 +121,27 @@
                 return "0.1 0 0 0";
             }
         }, false);
-        int port = Ports.free();
+        int port = Ports.findFree();
         Path file = Files.createTempFile("vetchrill-flood", ".json");
-        Membership membership = new Membership((name, is, call) -> up.countDown());
-        ObjectNode told = DeploymentReader.JSON.createObjectNode();
-        told.put("name", "f").put("listen", "127.0.0.1:" + port).put("vm", "127.0.0.1:" + interpreter[0].port())
+        FakeMembershipService membership = new FakeMembershipService((name, state, call) -> started.countDown());
+        ObjectNode config = DeploymentReader.JSON.createObjectNode();
+        config.put("name", "f").put("listen", "127.0.0.1:" + port).put("vm", "127.0.0.1:" + interpreter[0].port())
                 .put("members", "127.0.0.1:" + membership.port()).put("seed", "1").put("stop_ms", 1_000);
-        told.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", 512);
-        told.set("settings", Briefing.of(fleet, fleet.kinds.get(0), false));
-        Files.writeString(file, told.toString());
+        config.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", 512);
+        config.set("settings", DeploymentSettings.of(fleet, fleet.kinds.get(0), false));
+        Files.writeString(file, config.toString());
         List<String> command = new ArrayList<>(List.of("taskset", "-c", "0",
                 System.getProperty("java.home") + "/bin/java", "-XX:+UseSerialGC",
                 "-XX:TieredStopAtLevel=1", "-Xms16m", "-Xmx72m", "-XX:StackShadowPages=10",
                 "-XX:-UsePerfData"));
-        command.addAll(further);
-        Path operator = audited ? operator() : null;
-        if (operator == null) {
+        command.addAll(javaOptions);
+        Path operatorFile = audited ? writeOperatorFile() : null;
+        if (operatorFile == null) {
             command.addAll(List.of("-jar", jar.toString(), "serve"));
         } else {
             command.addAll(List.of("--add-opens=java.base/java.nio=ALL-UNNAMED", "-cp",
                     System.getProperty("java.class.path"), "vetchrill.tool.Vetchrill", "serve", "--operator",
-                    operator.toString()));
+                    operatorFile.toString()));
         }
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().put("GW_CONFIG", file.toString());
@@ -145,7 +149,7 @@
         Process process = builder.start();
         List<Socket> sockets = new ArrayList<>();
         try {
-            if (!up.await(20, TimeUnit.SECONDS)) {
+            if (!started.await(20, TimeUnit.SECONDS)) {
                 throw new IOException(jar + " does not come up");
             }
             AtomicLong answered = new AtomicLong();
@@ -154,16 +158,16 @@
                 Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
                 socket.setTcpNoDelay(true);
                 sockets.add(socket);
-                Thread thread = new Thread(() -> talk(socket, fleet, ids, answered));
+                Thread thread = new Thread(() -> runConnection(socket, fleet, ids, answered));
                 thread.setDaemon(true);
                 thread.start();
             }
             Thread.sleep(WARM_UP_MS);
-            long before = answered.get();
+            long answeredBefore = answered.get();
             long cpuBefore = cpuNanos(process);
             Thread.sleep(seconds * 1_000L);
-            long done = answered.get() - before;
-            return (cpuNanos(process) - cpuBefore) / 1e3 / Math.max(1, done);
+            long completed = answered.get() - answeredBefore;
+            return (cpuNanos(process) - cpuBefore) / 1e3 / Math.max(1, completed);
         } finally {
             process.destroyForcibly().waitFor();
             for (Socket socket : sockets) {
@@ -172,8 +176,8 @@
             interpreter[0].close();
             membership.close();
             Files.delete(file);
-            if (operator != null) {
-                Folders.remove(operator.getParent());
+            if (operatorFile != null) {
+                Folders.deleteRecursively(operatorFile.getParent());
             }
         }
     }
@@ -182,16 +186,16 @@
         return process.info().totalCpuDuration().orElseThrow().toNanos();
     }
 
-    private static void talk(Socket socket, Fleet fleet, AtomicLong ids, AtomicLong answered) {
+    private static void runConnection(Socket socket, Fleet fleet, AtomicLong ids, AtomicLong answered) {
         try (DataInputStream in = new DataInputStream(new BufferedInputStream(socket.getInputStream()))) {
             int stream = 0;
-            for (int i = 0; i < OPEN; i++) {
-                ask(socket, fleet, ids, ++stream);
+            for (int i = 0; i < EXCHANGES_PER_CONNECTION; i++) {
+                sendExchange(socket, fleet, ids, ++stream);
             }
             for (StubFrames.Frame frame = StubFrames.read(in); frame != null; frame = StubFrames.read(in)) {
                 if (frame.type() == StubFrames.ANSWER) {
                     answered.incrementAndGet();
-                    ask(socket, fleet, ids, ++stream);
+                    sendExchange(socket, fleet, ids, ++stream);
                 }
             }
         } catch (IOException e) {
@@ -199,7 +203,7 @@
         }
     }
 
-    private static void ask(Socket socket, Fleet fleet, AtomicLong ids, int stream) throws IOException {
+    private static void sendExchange(Socket socket, Fleet fleet, AtomicLong ids, int stream) throws IOException {
         socket.getOutputStream().write(StubFrames.frame(StubFrames.EXCHANGE, stream, StubFrames.payload(new byte[200],
                 "method", fleet.groups.get(0).name(), "rid", String.format("%016x", ids.incrementAndGet()), "t0",
                 Long.toString(System.currentTimeMillis()), "peer", "1", "acct", fleet.customers.get(0).name(), "mem",
--- a/lab/src/main/java/vetchrill/tool/FleetCommand.java
+++ b/lab/src/main/java/vetchrill/tool/FleetCommand.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Parameters;
 import vetchrill.members.MemberInfo;
 import vetchrill.members.MembershipMessage;
-import vetchrill.peering.PeersOrder;
+import vetchrill.peering.PeersConfig;
 import vetchrill.peers.PeerClient;
 import vetchrill.protocol.DeploymentReader;
 
@@ -27,61 +27,61 @@
     }
 
     /** What is ordered from one instance, for all. */
-    abstract static class Ordering implements Callable<Integer> {
+    abstract static class OrderCommand implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "ADDRESS", description = "Where it listens to peers, as 10.0.0.4:7565.")
         private String address;
 
-        JsonNode order(ObjectNode order) throws IOException {
-            InetSocketAddress at = PeersOrder.address(address);
-            if (at == null) {
-                throw new BadUse("ADDRESS is " + address + ", " + PeersOrder.ADDRESS);
+        JsonNode send(ObjectNode order) throws IOException {
+            InetSocketAddress peer = PeersConfig.parseAddress(address);
+            if (peer == null) {
+                throw new UsageException("ADDRESS is " + address + ", " + PeersConfig.ADDRESS_FORMAT_MESSAGE);
             }
-            return DeploymentReader.JSON.readTree(PeerClient.sendOrder(at, order.toString().getBytes(
+            return DeploymentReader.JSON.readTree(PeerClient.sendOrder(peer, order.toString().getBytes(
                     StandardCharsets.UTF_8)));
         }
 
-        ObjectNode fresh(String what) {
-            return DeploymentReader.JSON.createObjectNode().put("order", what);
+        ObjectNode newOrder(String name) {
+            return DeploymentReader.JSON.createObjectNode().put("order", name);
         }
 
         /** 1 and a line where it was not done. */
-        int done(JsonNode answer, String text) {
+        int printResult(JsonNode answer, String successLine) {
             if (answer.has("error")) {
                 System.err.println("vetchrill: " + answer.path("name").asText() + ": "
                         + answer.path("error").asText());
                 return 1;
             }
-            System.out.println(text);
+            System.out.println(successLine);
             return 0;
         }
     }
 
     @Command(name = "versions", mixinStandardHelpOptions = true,
             description = "What one instance holds of versions, floors and who decides by what.")
-    static final class VersionsCommand extends Ordering {
+    static final class VersionsCommand extends OrderCommand {
         @Override
         public Integer call() throws IOException {
-            JsonNode told = order(fresh("status"));
-            System.out.printf("%s decides by version %d; floor %d, confirmed %d; %s%n", told.path("name").asText(),
-                    told.path("taken").asLong(), told.path("floor").asLong(), told.path("confirmed").asLong(),
-                    told.path("barred").asBoolean() ? "SHUT OUT" : told.has("lease_ms") ? "lease for "
-                            + told.path("lease_ms").asLong() + " ms" : "no lease");
-            told.path("versions").forEach(each -> System.out.printf("version %d by %s, %s..., %d s old%s%n",
+            JsonNode status = send(newOrder("status"));
+            System.out.printf("%s decides by version %d; floor %d, confirmed %d; %s%n", status.path("name").asText(),
+                    status.path("taken").asLong(), status.path("floor").asLong(), status.path("confirmed").asLong(),
+                    status.path("barred").asBoolean() ? "SHUT OUT" : status.has("lease_ms") ? "lease for "
+                            + status.path("lease_ms").asLong() + " ms" : "no lease");
+            status.path("versions").forEach(each -> System.out.printf("version %d by %s, %s..., %d s old%s%n",
                     each.path("number").asLong(), each.path("author").asText(),
                     each.path("digest").asText().substring(0, 12), each.path("age_ms").asLong() / 1000,
                     each.path("stopped").asText().isEmpty() ? "" : ", STOPPED: " + each.path("stopped").asText()));
-            told.path("keepers").forEach(each -> System.out.printf("keeper %s holds floor %d in life %d%n",
+            status.path("keepers").forEach(each -> System.out.printf("keeper %s holds floor %d in life %d%n",
                     each.path("name").asText(), each.path("floor").asLong(), each.path("life").asLong()));
-            told.path("instances").forEach(each -> System.out.printf("%-20s version %d, heard %d ms ago %s%n",
+            status.path("instances").forEach(each -> System.out.printf("%-20s version %d, heard %d ms ago %s%n",
                     each.path("name").asText(), each.path("taken").asLong(), each.path("heard_ms").asLong(),
                     each.path("why").asText()));
-            return told.has("error") ? 1 : 0;
+            return status.has("error") ? 1 : 0;
         }
     }
 
     @Command(name = "publish", mixinStandardHelpOptions = true,
             description = "Publish settings as a new version: FILE is a configuration or the settings of one.")
-    static final class PublishCommand extends Ordering {
+    static final class PublishCommand extends OrderCommand {
         @Parameters(index = "1", paramLabel = "FILE")
         private Path file;
 
@@ -94,7 +94,7 @@
         private List<String> stages = List.of();
 
         @Option(names = "--hold-ms", defaultValue = "60000", description = "Between two stages (${DEFAULT-VALUE}).")
-        private long hold;
+        private long holdMs;
 
         @Option(names = "--text", defaultValue = "", description = "Digest of the only program that may take it.")
         private String text;
@@ -105,63 +105,65 @@
             try {
                 content = DeploymentReader.JSON.readTree(Files.readAllBytes(file));
             } catch (com.fasterxml.jackson.core.JsonProcessingException e) {
-                throw new BadUse(file + ":" + e.getLocation().getLineNr() + ": no JSON: " + e.getOriginalMessage());
+                throw new UsageException(file + ":" + e.getLocation().getLineNr() + ": no JSON: "
+                        + e.getOriginalMessage());
             }
             JsonNode settings = content.has("settings") ? content.path("settings") : content;
-            ObjectNode order = fresh("publish").put("hold_ms", hold).put("text", text);
+            ObjectNode order = newOrder("publish").put("hold_ms", holdMs).put("text", text);
             order.put("content", settings.toString().getBytes(StandardCharsets.UTF_8));
             if (number != null) {
                 order.put("number", number);
             }
-            for (String each : stages) {
-                if (!each.matches("[^=]*=(0(\\.[0-9]+)?|1(\\.0+)?)")) {
-                    throw new BadUse("--stage is " + each + ", should be a zone, = and a share from 0 to 1");
+            for (String stage : stages) {
+                if (!stage.matches("[^=]*=(0(\\.[0-9]+)?|1(\\.0+)?)")) {
+                    throw new UsageException("--stage is " + stage + ", should be a zone, = and a share from 0 to 1");
                 }
-                int at = each.indexOf('=');
-                order.withArray("stages").addObject().put("zone", each.substring(0, at)).put("share",
-                        Double.parseDouble(each.substring(at + 1)));
+                int separator = stage.indexOf('=');
+                order.withArray("stages").addObject().put("zone", stage.substring(0, separator)).put("share",
+                        Double.parseDouble(stage.substring(separator + 1)));
             }
-            JsonNode answer = order(order);
-            return done(answer, "published: version=" + answer.path("published").asLong());
+            JsonNode answer = send(order);
+            return printResult(answer, "published: version=" + answer.path("published").asLong());
         }
     }
 
     @Command(name = "floor", mixinStandardHelpOptions = true,
             description = "From now on nothing is begun under this version; one lease after it is confirmed, nowhere.")
-    static final class FloorCommand extends Ordering {
+    static final class FloorCommand extends OrderCommand {
         @Parameters(index = "1", paramLabel = "NUMBER")
         private long number;
 
         @Option(names = "--wait", defaultValue = "10",
                 description = "Seconds to wait until more than half of the keepers hold it (${DEFAULT-VALUE}).")
-        private double wait;
+        private double waitSeconds;
 
         @Override
         public Integer call() throws IOException, InterruptedException {
-            JsonNode answer = order(fresh("floor").put("number", number));
-            long end = System.nanoTime() + (long) (wait * 1e9);
-            while (!answer.has("error") && answer.path("confirmed").asLong() < number && System.nanoTime() < end) {
+            JsonNode answer = send(newOrder("floor").put("number", number));
+            long deadlineNanos = System.nanoTime() + (long) (waitSeconds * 1e9);
+            while (!answer.has("error") && answer.path("confirmed").asLong() < number
+                    && System.nanoTime() < deadlineNanos) {
                 Thread.sleep(20);
-                answer = order(fresh("status"));
+                answer = send(newOrder("status"));
             }
             if (!answer.has("error") && answer.path("confirmed").asLong() < number) {
                 System.err.println("vetchrill: the floor " + number + " is ordered and not confirmed: too few keepers "
                         + "were heard");
                 return 1;
             }
-            return done(answer, "confirmed: floor=" + number);
+            return printResult(answer, "confirmed: floor=" + number);
         }
     }
 
     @Command(name = "halt", mixinStandardHelpOptions = true,
             description = "Nobody else takes this version; who has it keeps it until a higher one is published.")
-    static final class HaltCommand extends Ordering {
+    static final class HaltCommand extends OrderCommand {
         @Parameters(index = "1", paramLabel = "NUMBER")
         private long number;
 
         @Override
         public Integer call() throws IOException {
-            return done(order(fresh("halt").put("number", number)), "halted: version=" + number);
+            return printResult(send(newOrder("halt").put("number", number)), "halted: version=" + number);
         }
     }
 
@@ -173,25 +175,26 @@
 
         @Override
         public Integer call() throws IOException {
-            InetSocketAddress at = PeersOrder.address(address);
-            if (at == null) {
-                throw new BadUse("ADDRESS is " + address + ", " + PeersOrder.ADDRESS);
+            InetSocketAddress peer = PeersConfig.parseAddress(address);
+            if (peer == null) {
+                throw new UsageException("ADDRESS is " + address + ", " + PeersConfig.ADDRESS_FORMAT_MESSAGE);
             }
-            MembershipMessage word = PeerClient.queryMembership(at);
+            MembershipMessage message = PeerClient.queryMembership(peer);
             System.out.printf("%-20s %-10s %5s %5s  %s%n", "name", "state", "life", "turn", "by");
-            line(word.sender());
-            word.updates().stream().sorted(Comparator.comparing(MemberInfo::name)).forEach(StatusCommand::line);
-            if (word.sequenceNumber() > 0) {
-                System.out.println(word.sender().name() + " distrusts itself by " + word.sequenceNumber()
+            printMember(message.sender());
+            message.updates().stream().sorted(Comparator.comparing(MemberInfo::name))
+                    .forEach(StatusCommand::printMember);
+            if (message.sequenceNumber() > 0) {
+                System.out.println(message.sender().name() + " distrusts itself by " + message.sequenceNumber()
                         + " of 8: it was slow or paused of late");
             }
             return 0;
         }
 
-        private static void line(MemberInfo news) {
-            System.out.printf("%-20s %-10s %5d %5d  %s%n", news.name(), news.state(), news.incarnation(),
-                    news.refutations(),
-                    news.reportedBy());
+        private static void printMember(MemberInfo member) {
+            System.out.printf("%-20s %-10s %5d %5d  %s%n", member.name(), member.state(), member.incarnation(),
+                    member.refutations(),
+                    member.reportedBy());
         }
     }
 }
--- a/lab/src/main/java/vetchrill/tool/Logback.java
+++ b/lab/src/main/java/vetchrill/tool/Logback.java
@@ -20,12 +20,13 @@
     public ExecutionStatus configure(LoggerContext context) {
         ConsoleAppender<ILoggingEvent> out = new ConsoleAppender<>();
         out.setContext(context);
-        out.setTarget("out".equals(System.getProperty(ToolLog.TARGET)) ? "System.out" : "System.err");
+        out.setTarget("out".equals(System.getProperty(ToolLog.TARGET_PROPERTY)) ? "System.out" : "System.err");
         out.setEncoder(encoder(context));
         out.start();
         Logger root = context.getLogger(Logger.ROOT_LOGGER_NAME);
         root.addAppender(out);
-        root.setLevel(Level.toLevel(System.getProperty(ToolLog.LEAST, System.getenv("VETCHRILL_LOG")), Level.INFO));
+        root.setLevel(Level.toLevel(System.getProperty(ToolLog.LEVEL_PROPERTY, System.getenv("VETCHRILL_LOG")),
+                Level.INFO));
         // What the libraries say of themselves helps nobody who has not asked for it.
         context.getLogger("org.apache.arrow").setLevel(Level.WARN);
         context.getLogger("io.netty").setLevel(Level.WARN);
@@ -33,7 +34,7 @@
     }
 
     private static Encoder<ILoggingEvent> encoder(LoggerContext context) {
-        if ("json".equals(System.getProperty(ToolLog.FORMAT))) {
+        if ("json".equals(System.getProperty(ToolLog.FORMAT_PROPERTY))) {
             JsonEncoder json = new JsonEncoder();
             json.setContext(context);
             json.setWithFormattedMessage(false);
--- a/lab/src/main/java/vetchrill/tool/MeasureCommand.java
+++ b/lab/src/main/java/vetchrill/tool/MeasureCommand.java
@@ -20,24 +20,24 @@
 import vetchrill.bench.QueueBench;
 import vetchrill.bench.RecorderBench;
 import vetchrill.fleet.Fleet;
-import vetchrill.fleet.FleetFile;
-import vetchrill.model.Demand;
+import vetchrill.fleet.FleetFileReader;
+import vetchrill.model.Workload;
 import vetchrill.model.EventQueue;
-import vetchrill.model.HeapQueue;
-import vetchrill.model.Run;
-import vetchrill.model.TimeWheel;
-import vetchrill.model.World;
+import vetchrill.model.HeapEventQueue;
+import vetchrill.model.SimulationResult;
+import vetchrill.model.TimingWheelQueue;
+import vetchrill.model.FleetSimulation;
 
 @Command(name = "measure", mixinStandardHelpOptions = true, hidden = true,
         description = "The planner's figures from nothing: what recording costs, how fast the model is, and the proof.")
 final class MeasureCommand implements Callable<Integer> {
-    private static final long MINUTE = 600_000;
+    private static final long MINUTE_TENTHS_MS = 600_000;
 
     @Parameters(index = "0", paramLabel = "LARGE", description = "A fleet of 300 relays.")
-    private Path large;
+    private Path largeFleet;
 
     @Parameters(index = "1", paramLabel = "SMALL", description = "The fleet of the proof.")
-    private Path small;
+    private Path smallFleet;
 
     @Option(names = "--seeds", defaultValue = "3", description = "Runs of each case of the proof (${DEFAULT-VALUE}).")
     private int seeds;
@@ -47,65 +47,68 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException, RunnerException {
-        Map<String, Double> benches = benches();
-        Fleet fleet = FleetFile.read(large);
-        double wheel = Double.MAX_VALUE;
-        double heap = Double.MAX_VALUE;
-        Run run = null;
+        Map<String, Double> scores = runBenchmarks();
+        Fleet fleet = FleetFileReader.read(largeFleet);
+        double wheelSeconds = Double.MAX_VALUE;
+        double heapSeconds = Double.MAX_VALUE;
+        SimulationResult run = null;
         for (int i = 0; i < 3; i++) {
-            run = minute(fleet, new TimeWheel());
-            wheel = Math.min(wheel, lastSeconds);
-            minute(fleet, new HeapQueue());
-            heap = Math.min(heap, lastSeconds);
+            run = simulateMinute(fleet, new TimingWheelQueue());
+            wheelSeconds = Math.min(wheelSeconds, lastSeconds);
+            simulateMinute(fleet, new HeapEventQueue());
+            heapSeconds = Math.min(heapSeconds, lastSeconds);
         }
         System.gc();
-        long used = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
+        long usedBytes = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
         System.out.printf(Locale.ROOT,
                 "model: %d relays, %.0f first tries a second with %.2f tries each: a minute in %.2f s "
                 + "on one core with the wheel, %.2f s with the heap; %d events; heap bound %d MB, %d MB left in use%n",
-                fleet.relays(), fleet.load.perS(), run.tally().inflation(0, 60), wheel, heap, run.events(),
-                Runtime.getRuntime().maxMemory() >> 20, used >> 20);
-        ProveCommand proof = new ProveCommand();
-        new CommandLine(proof).parseArgs(small.toString(), "--seeds", Integer.toString(seeds), "--first-seed",
+                fleet.instanceCount(), fleet.load.perSecond(), run.statistics().retryFactor(0, 60), wheelSeconds,
+                heapSeconds, run.eventCount(),
+                Runtime.getRuntime().maxMemory() >> 20, usedBytes >> 20);
+        ProveCommand prove = new ProveCommand();
+        new CommandLine(prove).parseArgs(smallFleet.toString(), "--seeds", Integer.toString(seeds), "--first-seed",
                 Integer.toString(firstSeed), "--beside", "3");
-        int code = proof.call();
+        int code = prove.call();
         System.out.printf(Locale.ROOT, "measure planner: worst_error_points=%.1f mean_error_points=%.1f "
                 + "other_load_worst_points=%.1f other_load_mean_points=%.1f sim_relays=%d sim_seconds_per_minute=%.2f "
                 + "record_on_ns=%.0f record_off_ns=%.0f record_bytes=%.1f wheel_ns=%.0f heap_ns=%.0f runs=%d void=%d%n",
-                proof.worst, proof.mean, proof.otherWorst, proof.otherMean, fleet.relays(), wheel, benches.get("on"),
-                benches.get("off"), benches.get("bytes"), benches.get("wheel"), benches.get("heap"), proof.runs,
-                proof.misses);
+                prove.worstError, prove.meanError, prove.otherLoadWorstError, prove.otherLoadMeanError,
+                fleet.instanceCount(), wheelSeconds, scores.get("on"),
+                scores.get("off"), scores.get("bytes"), scores.get("wheel"), scores.get("heap"), prove.runs,
+                prove.voidRuns);
         return code;
     }
 
     private double lastSeconds;
 
-    private Run minute(Fleet fleet, EventQueue events) {
-        long began = System.nanoTime();
-        Run run = new World(fleet, new Demand.Told(fleet), MINUTE, 0, 1, events).run();
-        lastSeconds = (System.nanoTime() - began) / 1e9;
+    private SimulationResult simulateMinute(Fleet fleet, EventQueue events) {
+        long startNanos = System.nanoTime();
+        SimulationResult run = new FleetSimulation(fleet, new Workload.ConfiguredWorkload(fleet), MINUTE_TENTHS_MS, 0,
+                1, events).run();
+        lastSeconds = (System.nanoTime() - startNanos) / 1e9;
         return run;
     }
 
-    private static Map<String, Double> benches() throws RunnerException {
+    private static Map<String, Double> runBenchmarks() throws RunnerException {
         Collection<RunResult> results = new Runner(new OptionsBuilder().include(RecorderBench.class.getName())
                 .include(QueueBench.class.getName()).forks(1).warmupIterations(2).warmupTime(TimeValue.seconds(1))
                 .measurementIterations(4).measurementTime(TimeValue.seconds(1)).addProfiler(GCProfiler.class)
                 .jvmArgsAppend("--add-opens=java.base/java.nio=ALL-UNNAMED").build()).run();
-        Map<String, Double> figures = new TreeMap<>();
+        Map<String, Double> scores = new TreeMap<>();
         for (RunResult result : results) {
             String recording = result.getParams().getParam("recording");
             double ns = result.getPrimaryResult().getScore();
             if (recording != null) {
-                figures.put(recording, ns);
+                scores.put(recording, ns);
                 if (recording.equals("on")) {
                     // The writer's thread allocates too: this bounds what the decision thread does from above.
-                    figures.put("bytes", result.getSecondaryResults().get("gc.alloc.rate.norm").getScore());
+                    scores.put("bytes", result.getSecondaryResults().get("gc.alloc.rate.norm").getScore());
                 }
             } else if (result.getParams().getParam("waiting").equals("20000")) {
-                figures.put(result.getParams().getParam("queue"), ns);
+                scores.put(result.getParams().getParam("queue"), ns);
             }
         }
-        return figures;
+        return scores;
     }
 }
--- a/lab/src/main/java/vetchrill/tool/PlanCommand.java
+++ b/lab/src/main/java/vetchrill/tool/PlanCommand.java
@@ -17,17 +17,17 @@
 import picocli.CommandLine.Parameters;
 import vetchrill.capture.Capture;
 import vetchrill.fleet.Fleet;
-import vetchrill.fleet.FleetFile;
-import vetchrill.hcl.Block;
-import vetchrill.planner.Answer;
-import vetchrill.planner.Basis;
-import vetchrill.planner.Fit;
+import vetchrill.fleet.FleetFileReader;
+import vetchrill.hcl.ConfigBlock;
+import vetchrill.planner.Report;
+import vetchrill.planner.PlanInputs;
+import vetchrill.planner.FittedModel;
 import vetchrill.planner.Goal;
 import vetchrill.planner.LimitFinder;
-import vetchrill.planner.Losses;
-import vetchrill.planner.Showing;
-import vetchrill.planner.Sizing;
-import vetchrill.planner.Sweep;
+import vetchrill.planner.ZoneLossAnalysis;
+import vetchrill.planner.ReportRenderer;
+import vetchrill.planner.FleetSizer;
+import vetchrill.planner.SimulationRunner;
 
 @Command(name = "plan", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "limits|size|lose|report",
         description = "Plan a fleet from its description and, where there are any, its captures.")
@@ -42,9 +42,9 @@
     }
 
     /** What all questions have in common. */
-    static final class Common {
+    static final class PlanOptions {
         @Parameters(index = "0", paramLabel = "FLEET", description = "The fleet (HCL).")
-        Path fleet;
+        Path fleetFile;
 
         @Option(names = "--capture", paramLabel = "FOLDER",
                 description = "Captures of the fleet's relays; what they tell "
@@ -65,14 +65,14 @@
         int settle;
 
         @ArgGroup(exclusive = true)
-        Form form = new Form();
+        OutputFormat output = new OutputFormat();
 
         @Option(names = "--quiet", description = "No progress on standard error.")
         boolean quiet;
 
-        private final AtomicInteger played = new AtomicInteger();
+        private final AtomicInteger finishedRuns = new AtomicInteger();
 
-        static final class Form {
+        static final class OutputFormat {
             @Option(names = "--json", description = "Answer in JSON.")
             boolean json;
 
@@ -81,150 +81,152 @@
             Path html;
         }
 
-        Sweep sweep() {
+        SimulationRunner newRunner() {
             if (seeds < 1 || seeds > 1_000 || threads < 1 || threads > 1_024 || settle < 0 || seconds <= settle + 1
                     || seconds > 3_600) {
-                throw new BadUse("--seeds should be 1 to 1000, --threads 1 to 1024, --seconds at most "
+                throw new UsageException("--seeds should be 1 to 1000, --threads 1 to 1024, --seconds at most "
                         + "3600 and two more "
                         + "than --settle");
             }
-            return new Sweep(threads, seeds, seconds * 10_000L, settle * 10_000L, this::progress);
+            return new SimulationRunner(threads, seeds, seconds * 10_000L, settle * 10_000L, this::progress);
         }
 
         private void progress() {
-            int now = played.incrementAndGet();
-            if (!quiet && System.console() != null && now % 5 == 0) {
-                System.err.print("\r" + now + " worlds played");
+            int finished = finishedRuns.incrementAndGet();
+            if (!quiet && System.console() != null && finished % 5 == 0) {
+                System.err.print("\r" + finished + " worlds played");
                 System.err.flush();
             }
         }
 
-        Basis basis(Fleet told) {
+        PlanInputs readInputs(Fleet configuredFleet) {
             if (capture != null) {
-                return new Basis(new Fit(told, Capture.readAll(capture)));
+                return new PlanInputs(new FittedModel(configuredFleet, Capture.readAll(capture)));
             }
-            if (!told.wanting().isEmpty()) {
-                throw new BadUse(fleet + ": without --capture it must tell " + String.join(", ", told.wanting()));
+            if (!configuredFleet.missingValues().isEmpty()) {
+                throw new UsageException(fleetFile + ": without --capture it must tell "
+                        + String.join(", ", configuredFleet.missingValues()));
             }
-            return new Basis(told);
+            return new PlanInputs(configuredFleet);
         }
 
         /** Shows what there is; 1 where something asked for does not hold. */
-        int show(String title, List<Answer> answers) throws IOException {
-            if (!quiet && played.get() > 0 && System.console() != null) {
+        int print(String title, List<Report> reports) throws IOException {
+            if (!quiet && finishedRuns.get() > 0 && System.console() != null) {
                 System.err.print("\r");
             }
-            if (form != null && form.json) {
-                System.out.print(Showing.json(answers));
-            } else if (form != null && form.html != null) {
+            if (output != null && output.json) {
+                System.out.print(ReportRenderer.toJson(reports));
+            } else if (output != null && output.html != null) {
                 // Whoever looks at it never sees half of it.
-                Path half = form.html.resolveSibling(form.html.getFileName() + ".half");
-                Files.writeString(half, Showing.page(title, answers));
-                Files.move(half, form.html, StandardCopyOption.REPLACE_EXISTING);
+                Path temporary = output.html.resolveSibling(output.html.getFileName() + ".half");
+                Files.writeString(temporary, ReportRenderer.toHtml(title, reports));
+                Files.move(temporary, output.html, StandardCopyOption.REPLACE_EXISTING);
             } else {
-                answers.forEach(each -> System.out.println(Showing.text(each)));
+                reports.forEach(report -> System.out.println(ReportRenderer.toText(report)));
             }
-            return answers.stream().allMatch(each -> each.holds) ? 0 : 1;
+            return reports.stream().allMatch(report -> report.goalMet) ? 0 : 1;
         }
     }
 
     @Command(name = "limits", mixinStandardHelpOptions = true,
             description = "Every limit that the design has, in the order in which growing load reaches it.")
-    int limits(@Mixin Common common) throws IOException {
-        Fleet fleet = FleetFile.read(common.fleet);
-        try (Sweep sweep = common.sweep()) {
-            Answer answer = new LimitFinder(common.basis(fleet), sweep).find();
-            return common.show(answer.title, List.of(answer));
+    int limits(@Mixin PlanOptions options) throws IOException {
+        Fleet fleet = FleetFileReader.read(options.fleetFile);
+        try (SimulationRunner runner = options.newRunner()) {
+            Report report = new LimitFinder(options.readInputs(fleet), runner).find();
+            return options.print(report.title, List.of(report));
         }
     }
 
     @Command(name = "size", mixinStandardHelpOptions = true,
             description = "How many relays the goals of a file take, by kind and zone.")
-    int size(@Mixin Common common, @Parameters(index = "1", paramLabel = "GOALS", description = "The goals (HCL).")
+    int size(@Mixin PlanOptions options,
+    @Parameters(index = "1", paramLabel = "GOALS", description = "The goals (HCL).")
             Path goals) throws IOException {
-        Fleet fleet = FleetFile.read(common.fleet);
-        List<Goal> all = Goal.read(Block.read(goals), fleet);
-        try (Sweep sweep = common.sweep()) {
-            List<Answer> answers = new ArrayList<>();
-            Basis basis = common.basis(fleet);
-            for (Goal goal : all) {
-                answers.add(new Sizing(basis, sweep, goal).find());
+        Fleet fleet = FleetFileReader.read(options.fleetFile);
+        List<Goal> goalList = Goal.read(ConfigBlock.read(goals), fleet);
+        try (SimulationRunner runner = options.newRunner()) {
+            List<Report> reports = new ArrayList<>();
+            PlanInputs inputs = options.readInputs(fleet);
+            for (Goal goal : goalList) {
+                reports.add(new FleetSizer(inputs, runner, goal).find());
             }
-            return common.show("Sizes of " + fleet.name, answers);
+            return options.print("Sizes of " + fleet.name, reports);
         }
     }
 
     @Command(name = "lose", mixinStandardHelpOptions = true,
             description = "What the loss of a zone does: alone, in each phase of a deploy, and with its return.")
-    int lose(@Mixin Common common, @Option(names = "--zones", paramLabel = "A,B",
+    int lose(@Mixin PlanOptions options, @Option(names = "--zones", paramLabel = "A,B",
             description = "A set of zones that go "
             + "together; may be given again for another. Each zone by itself where not given.") List<String> zones,
             @Option(names = "--load", defaultValue = "1", description = "The load as a multiple of that of now "
                     + "(${DEFAULT-VALUE}).") double load) throws IOException {
-        Fleet fleet = FleetFile.read(common.fleet);
-        List<Set<String>> sets = sets(fleet, zones);
-        load(load);
-        try (Sweep sweep = common.sweep()) {
-            Answer answer = new Losses(common.basis(fleet), sweep, load).find(sets);
-            return common.show(answer.title, List.of(answer));
+        Fleet fleet = FleetFileReader.read(options.fleetFile);
+        List<Set<String>> zoneSets = parseZoneSets(fleet, zones);
+        checkLoad(load);
+        try (SimulationRunner runner = options.newRunner()) {
+            Report report = new ZoneLossAnalysis(options.readInputs(fleet), runner, load).find(zoneSets);
+            return options.print(report.title, List.of(report));
         }
     }
 
     @Command(name = "report", mixinStandardHelpOptions = true, description = "All of it: limits, sizes and losses.")
-    int report(@Mixin Common common, @Option(names = "--goals", paramLabel = "GOALS",
+    int report(@Mixin PlanOptions options, @Option(names = "--goals", paramLabel = "GOALS",
             description = "Goals to size for.")
             Path goals) throws IOException {
-        Fleet fleet = FleetFile.read(common.fleet);
-        List<Goal> all = goals == null ? List.of() : Goal.read(Block.read(goals), fleet);
-        List<Answer> answers = new ArrayList<>();
-        Basis basis = common.basis(fleet);
+        Fleet fleet = FleetFileReader.read(options.fleetFile);
+        List<Goal> goalList = goals == null ? List.of() : Goal.read(ConfigBlock.read(goals), fleet);
+        List<Report> reports = new ArrayList<>();
+        PlanInputs inputs = options.readInputs(fleet);
         // Stopped in the middle, it shows what is done.
-        Thread stopped = new Thread(() -> {
+        Thread partialReport = new Thread(() -> {
             try {
-                common.show("Plan of " + fleet.name + ", stopped early", List.copyOf(answers));
+                options.print("Plan of " + fleet.name + ", stopped early", List.copyOf(reports));
             } catch (IOException e) {
                 System.err.println("vetchrill: " + e.getMessage());
             }
         });
-        Runtime.getRuntime().addShutdownHook(stopped);
-        try (Sweep sweep = common.sweep()) {
-            answers.add(new LimitFinder(basis, sweep).find());
-            for (Goal goal : all) {
-                answers.add(new Sizing(basis, sweep, goal).find());
+        Runtime.getRuntime().addShutdownHook(partialReport);
+        try (SimulationRunner runner = options.newRunner()) {
+            reports.add(new LimitFinder(inputs, runner).find());
+            for (Goal goal : goalList) {
+                reports.add(new FleetSizer(inputs, runner, goal).find());
             }
-            answers.add(new Losses(basis, sweep, 1).find(List.of()));
+            reports.add(new ZoneLossAnalysis(inputs, runner, 1).find(List.of()));
         } finally {
             try {
-                Runtime.getRuntime().removeShutdownHook(stopped);
+                Runtime.getRuntime().removeShutdownHook(partialReport);
             } catch (IllegalStateException e) {
                 // It is being stopped: the hook shows what there is.
             }
         }
         // They all rest on the same.
-        answers.subList(1, answers.size()).forEach(each -> each.tables.removeIf(
-                table -> table.title().equals(Basis.TITLE)));
-        return common.show("Plan of " + fleet.name, answers);
+        reports.subList(1, reports.size()).forEach(each -> each.tables.removeIf(
+                table -> table.title().equals(PlanInputs.TABLE_TITLE)));
+        return options.print("Plan of " + fleet.name, reports);
     }
 
-    private static void load(double load) {
+    private static void checkLoad(double load) {
         if (!(load > 0 && load <= 100)) {
-            throw new BadUse("--load is " + load + ", should be above 0 and at most 100");
+            throw new UsageException("--load is " + load + ", should be above 0 and at most 100");
         }
     }
 
-    private static List<Set<String>> sets(Fleet fleet, List<String> words) {
-        List<Set<String>> sets = new ArrayList<>();
-        List<String> known = fleet.zones.stream().map(Fleet.Zone::name).toList();
-        for (String word : words == null ? List.<String>of() : words) {
-            Set<String> set = new LinkedHashSet<>(Arrays.asList(word.split(",")));
-            for (String zone : set) {
-                if (!known.contains(zone)) {
-                    throw new BadUse("--zones: '" + zone + "' is no zone of the fleet, which has "
-                            + String.join(", ", known));
+    private static List<Set<String>> parseZoneSets(Fleet fleet, List<String> zoneLists) {
+        List<Set<String>> zoneSets = new ArrayList<>();
+        List<String> knownZones = fleet.zones.stream().map(Fleet.Zone::name).toList();
+        for (String zoneList : zoneLists == null ? List.<String>of() : zoneLists) {
+            Set<String> zones = new LinkedHashSet<>(Arrays.asList(zoneList.split(",")));
+            for (String zone : zones) {
+                if (!knownZones.contains(zone)) {
+                    throw new UsageException("--zones: '" + zone + "' is no zone of the fleet, which has "
+                            + String.join(", ", knownZones));
                 }
             }
-            sets.add(set);
+            zoneSets.add(zones);
         }
-        return sets;
+        return zoneSets;
     }
 }
--- a/lab/src/main/java/vetchrill/tool/ProveCommand.java
+++ b/lab/src/main/java/vetchrill/tool/ProveCommand.java
@@ -15,22 +15,22 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import vetchrill.capture.Capture;
-import vetchrill.capture.Merged;
+import vetchrill.capture.CaptureMerge;
 import vetchrill.files.Folders;
 import vetchrill.fleet.Fleet;
 import vetchrill.fleet.Fleet.Group;
-import vetchrill.fleet.Fleet.Kind;
+import vetchrill.fleet.Fleet.MachineKind;
 import vetchrill.fleet.Fleet.Load;
-import vetchrill.fleet.Fleet.Retry;
+import vetchrill.fleet.Fleet.RetryPolicy;
 import vetchrill.fleet.Fleet.Subjects;
-import vetchrill.fleet.FleetFile;
-import vetchrill.fleet.Trouble;
-import vetchrill.model.Demand;
-import vetchrill.planner.Fit;
-import vetchrill.planner.Spread;
-import vetchrill.planner.Sweep;
-import vetchrill.standin.Played;
-import vetchrill.standin.Rig;
+import vetchrill.fleet.FleetFileReader;
+import vetchrill.fleet.Fault;
+import vetchrill.model.Workload;
+import vetchrill.planner.FittedModel;
+import vetchrill.planner.ConfidenceInterval;
+import vetchrill.planner.SimulationRunner;
+import vetchrill.standin.RigResult;
+import vetchrill.standin.FleetTestRig;
 
 @Command(name = "prove", mixinStandardHelpOptions = true,
         description = "Play real instances on loopback, capture them, and hold what the planner says of "
@@ -40,17 +40,17 @@
     private static final System.Logger LOG = System.getLogger("vetchrill.prove");
 
     /** A run that was void is played again, so often at most. */
-    private static final int TRIES = 3;
+    private static final int MAX_ATTEMPTS = 3;
     /**
      * The load rises to its height after so long, in tenths of a millisecond, and is counted a second later: a
      * program that has just been started is slow at first, and where retries can hold a fleet down that decides the
      * whole run.
      */
-    private static final long RISEN = 40_000;
-    private static final double BEFORE = 0.4;
+    private static final long RAMP_TENTHS_MS = 40_000;
+    private static final double INITIAL_LOAD_RATIO = 0.4;
 
     @Parameters(paramLabel = "FLEET", description = "The fleet to play, with all that the planner is then not told.")
-    private Path file;
+    private Path fleetFile;
 
     @Option(names = "--seeds", defaultValue = "3", description = "Runs of each case (${DEFAULT-VALUE}).")
     private int seeds;
@@ -62,7 +62,7 @@
     private int seconds;
 
     @Option(names = "--case", description = "Only cases whose name has this in it.")
-    private String only;
+    private String caseFilter;
 
     @Option(names = "--folder", defaultValue = "lab/target/prove", description = "Where runs leave their files.")
     private Path folder;
@@ -72,84 +72,91 @@
 
     @Option(names = "--flush", defaultValue = "200", description = "Milliseconds until a row is in its file "
             + "(${DEFAULT-VALUE}).")
-    private int flush;
+    private int flushMs;
 
     @Option(names = "--beside", defaultValue = "2", description = "Fleets played side by side (${DEFAULT-VALUE}).")
-    private int beside;
+    private int concurrentFleets;
 
     /** What came out, for whoever asks after the call. */
     int runs;
-    int misses;
-    double worst;
-    double mean;
-    double otherWorst;
-    double otherMean;
+    int voidRuns;
+    double worstError;
+    double meanError;
+    double otherLoadWorstError;
+    double otherLoadMeanError;
 
-    private record Case(String name, double load, Retry retry, List<Trouble> troubles) {
+    private record ProofCase(String name, double loadRatio, RetryPolicy retry, List<Fault> faults) {
     }
 
-    private record Outcome(Case of, int seed, Played played, Fit fit, double truth) {
+    private record Outcome(ProofCase proofCase, int seed, RigResult result, FittedModel model, double measuredService) {
     }
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        Fleet world = FleetFile.read(file);
-        if (!world.wanting().isEmpty()) {
-            throw new BadUse(file + ": to be played it must tell " + String.join(", ", world.wanting()));
+        Fleet fleet = FleetFileReader.read(fleetFile);
+        if (!fleet.missingValues().isEmpty()) {
+            throw new UsageException(fleetFile + ": to be played it must tell "
+                    + String.join(", ", fleet.missingValues()));
         }
         List<Outcome> outcomes = new ArrayList<>();
-        double sum = 0;
-        double sumCross = 0;
-        int cross = 0;
-        double worstTries = 0;
+        double errorSum = 0;
+        double otherLoadErrorSum = 0;
+        int otherLoadCount = 0;
+        double worstAttemptsError = 0;
         System.out.printf("%-28s %4s %7s %7s %7s %6s %7s %7s %7s %7s %6s%n", "case", "seed", "asked/s", "service",
                 "planned", "error", "other", "error", "tries", "found", "late");
-        ExecutorService rigs = Executors.newFixedThreadPool(beside, work -> {
+        ExecutorService rigExecutor = Executors.newFixedThreadPool(concurrentFleets, work -> {
             Thread thread = new Thread(work, "rig");
             thread.setDaemon(true);
             return thread;
         });
-        try (Sweep sweep = new Sweep(threads, 8, seconds * 10_000L, RISEN + 10_000, () -> { })) {
-            List<Future<Outcome>> playing = new ArrayList<>();
-            for (Case each : cases(world)) {
+        try (SimulationRunner runner = new SimulationRunner(threads, 8, seconds * 10_000L, RAMP_TENTHS_MS + 10_000,
+                () -> { })) {
+            List<Future<Outcome>> futures = new ArrayList<>();
+            for (ProofCase proofCase : cases(fleet)) {
                 for (int seed = firstSeed; seed < firstSeed + seeds; seed++) {
-                    int of = seed;
-                    if (only == null || each.name.contains(only)) {
-                        playing.add(rigs.submit(() -> play(world, each, of)));
+                    int caseSeed = seed;
+                    if (caseFilter == null || proofCase.name.contains(caseFilter)) {
+                        futures.add(rigExecutor.submit(() -> runCase(fleet, proofCase, caseSeed)));
                     }
                 }
             }
-            for (Future<Outcome> next : playing) {
-                Outcome outcome = next.get();
+            for (Future<Outcome> future : futures) {
+                Outcome outcome = future.get();
                 if (outcome == null) {
-                    misses++;
+                    voidRuns++;
                 } else {
-                    Case each = outcome.of;
+                    ProofCase proofCase = outcome.proofCase;
                     int seed = outcome.seed;
                     outcomes.add(outcome);
-                    Fleet fitted = outcome.fit.fleet;
-                    Spread planned = sweep.service(sweep.runs(with(fitted, each), outcome.fit.replay()));
-                    double error = 100 * (planned.mean() - outcome.truth);
-                    worst = Math.max(worst, Math.abs(error));
-                    sum += Math.abs(error);
+                    Fleet fitted = outcome.model.fleet;
+                    ConfidenceInterval planned = runner.meanService(runner.simulate(withCase(fitted, proofCase),
+                            outcome.model.replay()));
+                    double error = 100 * (planned.mean() - outcome.measuredService);
+                    worstError = Math.max(worstError, Math.abs(error));
+                    errorSum += Math.abs(error);
                     // A plan made from another load: the first case of the same seed is all that it has seen.
-                    Outcome other = outcomes.stream().filter(o -> o.of.name.startsWith("95") && o.seed == outcome.seed)
+                    Outcome reference = outcomes.stream()
+                            .filter(candidate -> candidate.proofCase.name.startsWith("95") && candidate.seed
+                            == outcome.seed)
                             .findFirst().orElse(null);
-                    String crossed = "      -       -";
-                    if (other != null && other != outcome) {
-                        Demand demand = other.fit.times(each.load / other.of.load);
-                        Spread there = sweep.service(sweep.runs(with(other.fit.fleet, each), demand));
-                        double off = 100 * (there.mean() - outcome.truth);
-                        otherWorst = Math.max(otherWorst, Math.abs(off));
-                        sumCross += Math.abs(off);
-                        cross++;
-                        crossed = String.format("%7.3f %+7.1f", there.mean(), off);
+                    String otherLoadText = "      -       -";
+                    if (reference != null && reference != outcome) {
+                        Workload demand = reference.model.scaledBy(proofCase.loadRatio / reference.proofCase.loadRatio);
+                        ConfidenceInterval otherLoadPlanned =
+                                runner.meanService(runner.simulate(withCase(reference.model.fleet, proofCase), demand));
+                        double otherLoadError = 100 * (otherLoadPlanned.mean() - outcome.measuredService);
+                        otherLoadWorstError = Math.max(otherLoadWorstError, Math.abs(otherLoadError));
+                        otherLoadErrorSum += Math.abs(otherLoadError);
+                        otherLoadCount++;
+                        otherLoadText = String.format("%7.3f %+7.1f", otherLoadPlanned.mean(), otherLoadError);
                     }
-                    double[] tries = tries(outcome);
-                    worstTries = Math.max(worstTries, Math.abs(tries[1] / tries[0] - 1));
-                    System.out.printf("%-28s %4d %7.1f %7.3f %7.3f %+6.1f %s %7.2f %7.2f %6.1f%n", each.name, seed,
-                            world.fullLoad() * each.load, outcome.truth, planned.mean(), error, crossed, tries[0],
-                            tries[1], outcome.played.late() / 10.0);
+                    double[] attempts = attemptsPerExchange(outcome);
+                    worstAttemptsError = Math.max(worstAttemptsError, Math.abs(attempts[1] / attempts[0] - 1));
+                    System.out.printf("%-28s %4d %7.1f %7.3f %7.3f %+6.1f %s %7.2f %7.2f %6.1f%n", proofCase.name, seed,
+                            fleet.fullLoad() * proofCase.loadRatio, outcome.measuredService, planned.mean(), error,
+                            otherLoadText, attempts[0],
+                            attempts[1], outcome.result.latenessP99TenthsMs() / 10.0);
                     System.out.flush();
                 }
             }
@@ -159,87 +166,96 @@
             }
             throw new IOException(e.getCause());
         } finally {
-            rigs.shutdownNow();
+            rigExecutor.shutdownNow();
         }
-        System.out.printf("runs that were void and are not in the table: %d%n", misses);
+        System.out.printf("runs that were void and are not in the table: %d%n", voidRuns);
         runs = outcomes.size();
-        mean = sum / Math.max(1, runs);
-        otherMean = sumCross / Math.max(1, cross);
+        meanError = errorSum / Math.max(1, runs);
+        otherLoadMeanError = otherLoadErrorSum / Math.max(1, otherLoadCount);
         System.out.printf("proof: runs=%d worst_error_points=%.1f mean_error_points=%.1f other_load_worst_points=%.1f "
-                + "other_load_mean_points=%.1f further_tries_worst_error=%.3f%n", runs, worst, mean,
-                otherWorst, otherMean, worstTries);
-        return misses == 0 && !outcomes.isEmpty() ? 0 : 1;
+                + "other_load_mean_points=%.1f further_tries_worst_error=%.3f%n", runs, worstError, meanError,
+                otherLoadWorstError, otherLoadMeanError, worstAttemptsError);
+        return voidRuns == 0 && !outcomes.isEmpty() ? 0 : 1;
     }
 
-    private List<Case> cases(Fleet world) {
-        Set<String> zone = Set.of(world.zones.get(world.zones.size() / 2).name());
-        long lost = RISEN + 40_000;
-        List<Case> cases = new ArrayList<>();
-        for (Retry retry : List.of(Retry.LIMITED, Retry.UNLIMITED)) {
-            String says = retry == Retry.UNLIMITED ? ", retries without limit" : "";
+    private List<ProofCase> cases(Fleet fleet) {
+        Set<String> lostZone = Set.of(fleet.zones.get(fleet.zones.size() / 2).name());
+        long lossAt = RAMP_TENTHS_MS + 40_000;
+        List<ProofCase> cases = new ArrayList<>();
+        for (RetryPolicy retry : List.of(RetryPolicy.LIMITED, RetryPolicy.UNLIMITED)) {
+            String suffix = retry == RetryPolicy.UNLIMITED ? ", retries without limit" : "";
             for (int load : new int[] {95, 70, 110, 130}) {
-                cases.add(new Case(load + "%" + says, load / 100.0, retry, List.of()));
+                cases.add(new ProofCase(load + "%" + suffix, load / 100.0, retry, List.of()));
             }
-            cases.add(new Case("80%, zone lost" + says, 0.8, retry,
-                    List.of(new Trouble.Lose(lost, Long.MAX_VALUE, zone))));
-            cases.add(new Case("70%, zone lost in deploy" + says, 0.7, retry,
-                    List.of(new Trouble.Roll(RISEN + 15_000), new Trouble.Lose(lost, Long.MAX_VALUE, zone))));
+            cases.add(new ProofCase("80%, zone lost" + suffix, 0.8, retry,
+                    List.of(new Fault.ZoneLoss(lossAt, Long.MAX_VALUE, lostZone))));
+            cases.add(new ProofCase("70%, zone lost in deploy" + suffix, 0.7, retry,
+                    List.of(new Fault.RollingDeploy(RAMP_TENTHS_MS + 15_000),
+                    new Fault.ZoneLoss(lossAt, Long.MAX_VALUE, lostZone))));
         }
         return cases;
     }
 
     /** The fleet with this case's habits and troubles; what was fitted stays. */
-    private static Fleet with(Fleet fleet, Case each) {
-        return fleet.withPools(fleet.pools.stream().map(pool -> pool.with(each.retry)).toList())
-                .withTroubles(each.troubles);
+    private static Fleet withCase(Fleet fleet, ProofCase proofCase) {
+        return fleet.withPools(fleet.pools.stream().map(pool -> pool.with(proofCase.retry)).toList())
+                .withFaults(proofCase.faults);
     }
 
     /** What a planner is given: no work, no reading, no shares, no load; those it has to find in the capture. */
-    static Fleet without(Fleet fleet) {
-        double none = Double.NaN;
-        List<Kind> kinds = fleet.kinds.stream().map(kind -> kind.with(none, none, none)).toList();
-        List<Group> groups = fleet.groups.stream().map(group -> group.with(none, none, none, none, 64)).toList();
-        return fleet.fitted(kinds, groups, new Load(Double.NaN, 0, fleet.load.period()), new Subjects(-1, Double.NaN));
+    static Fleet withoutFittedValues(Fleet fleet) {
+        double unknown = Double.NaN;
+        List<MachineKind> kinds = fleet.kinds.stream().map(kind -> kind.with(unknown, unknown, unknown)).toList();
+        List<Group> groups = fleet.groups.stream().map(group -> group.with(unknown, unknown, unknown, unknown, 64))
+                .toList();
+        return fleet.withFitted(kinds, groups, new Load(Double.NaN, 0, fleet.load.period()),
+                new Subjects(-1, Double.NaN));
     }
 
     /** Null where the run was void again and again: the load itself was late, so that it shows nothing. */
-    private Outcome play(Fleet world, Case each, int seed) throws IOException, InterruptedException {
+    private Outcome runCase(Fleet fleet, ProofCase proofCase, int seed) throws IOException, InterruptedException {
         Outcome outcome = null;
-        for (int i = 0; outcome == null && i < TRIES; i++) {
-            outcome = playOnce(world, each, seed);
+        for (int i = 0; outcome == null && i < MAX_ATTEMPTS; i++) {
+            outcome = runOnce(fleet, proofCase, seed);
         }
         return outcome;
     }
 
     /** Null where the run was void. A promise that was broken ends the whole. */
-    private Outcome playOnce(Fleet world, Case each, int seed) throws IOException, InterruptedException {
-        Path run = folder.resolve(each.name.replaceAll("[^0-9a-z]+", "-") + "-" + seed);
-        Folders.remove(run);
-        Files.createDirectories(run);
-        Fleet playing = with(world.withLoad(world.fullLoad() * each.load), each);
-        Played played;
-        try (Rig rig = new Rig(playing, Demand.rising(new Demand.Told(playing), BEFORE, RISEN), seconds * 10_000L,
-                seed, run, flush)) {
-            played = rig.play();
+    private Outcome runOnce(Fleet fleet, ProofCase proofCase, int seed) throws IOException, InterruptedException {
+        Path runFolder = folder.resolve(proofCase.name.replaceAll("[^0-9a-z]+", "-") + "-" + seed);
+        Folders.deleteRecursively(runFolder);
+        Files.createDirectories(runFolder);
+        Fleet caseFleet = withCase(fleet.withLoad(fleet.fullLoad() * proofCase.loadRatio), proofCase);
+        RigResult result;
+        try (FleetTestRig rig = new FleetTestRig(caseFleet,
+                Workload.withRampUp(new Workload.ConfiguredWorkload(caseFleet), INITIAL_LOAD_RATIO, RAMP_TENTHS_MS),
+                seconds * 10_000L,
+                seed, runFolder, flushMs)) {
+            result = rig.run();
         }
-        if (played.wrongResults() + played.doubleRuns() + played.changedBodies() > 0) {
-            throw new BadUse("a rule was broken in " + run + ": " + played.wrongResults() + " wrong results, "
-                    + played.doubleRuns() + " double runs, " + played.changedBodies() + " changed bodies");
+        if (result.wrongResults() + result.duplicateRuns() + result.corruptedBodies() > 0) {
+            throw new UsageException("a rule was broken in " + runFolder + ": " + result.wrongResults()
+                    + " wrong results, "
+                    + result.duplicateRuns() + " double runs, " + result.corruptedBodies() + " changed bodies");
         }
-        if (played.invalid()) {
-            LOG.log(System.Logger.Level.WARNING, "the load was late itself", ToolLog.field("case", each.name),
-                    ToolLog.field("late_ms", played.late() / 10.0));
+        if (result.invalid()) {
+            LOG.log(System.Logger.Level.WARNING, "the load was late itself", ToolLog.field("case", proofCase.name),
+                    ToolLog.field("late_ms", result.latenessP99TenthsMs() / 10.0));
             return null;
         }
-        Fit fit = new Fit(without(with(world, each)), Capture.readAll(played.captures()));
-        return new Outcome(each, seed, played, fit, played.tally().service((int) (RISEN / 10_000) + 1, seconds));
+        FittedModel model = new FittedModel(withoutFittedValues(withCase(fleet, proofCase)),
+                Capture.readAll(result.captureFolder()));
+        return new Outcome(proofCase, seed, result, model,
+                result.statistics().service((int) (RAMP_TENTHS_MS / 10_000) + 1, seconds));
     }
 
     /** All tries for each first one that came to a relay: as the clients know it, and as the rows were read. */
-    private static double[] tries(Outcome outcome) {
-        long first = outcome.played.arrived().stream().filter(Rig.Arrived::first).count();
-        Merged merged = outcome.fit.merged;
-        return new double[] {outcome.played.arrived().size() / Math.max(1.0, first),
-            merged.rows / merged.firstTries()};
+    private static double[] attemptsPerExchange(Outcome outcome) {
+        long firstAttempts = outcome.result.arrivals().stream().filter(FleetTestRig.AttemptArrival::firstAttempt)
+                .count();
+        CaptureMerge merged = outcome.model.merged;
+        return new double[] {outcome.result.arrivals().size() / Math.max(1.0, firstAttempts),
+            merged.rows / merged.firstAttempts()};
     }
 }
--- a/lab/src/main/java/vetchrill/tool/ServeCommand.java
+++ b/lab/src/main/java/vetchrill/tool/ServeCommand.java
@@ -10,12 +10,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import vetchrill.audit.AuditConfig;
-import vetchrill.capture.CaptureOrder;
+import vetchrill.capture.CaptureConfig;
 import vetchrill.capture.CaptureWriter;
-import vetchrill.hcl.Block;
-import vetchrill.peering.Beside;
-import vetchrill.peering.PeersOrder;
-import vetchrill.peering.VersionsOrder;
+import vetchrill.hcl.ConfigBlock;
+import vetchrill.peering.PeeringExtension;
+import vetchrill.peering.PeersConfig;
+import vetchrill.peering.OperatorConfigReader;
 import vetchrill.program.InstanceRunner;
 import vetchrill.protocol.DeploymentReader;
 
@@ -28,38 +28,40 @@
     private Path operator;
 
     @Option(names = "--rigged", hidden = true, description = "A file by which a rig steps the clock or fills the disk.")
-    private Path rigged;
+    private Path rigFile;
 
     @Override
     public Integer call() throws IOException {
-        System.setProperty(ToolLog.TARGET, "out");
+        System.setProperty(ToolLog.TARGET_PROPERTY, "out");
         if (operator == null) {
             return InstanceRunner.run(System.getenv());
         }
-        JsonNode told = told();
-        String name = told == null ? "?" : name(told);
-        Block root = Block.read(operator);
-        CaptureOrder capture = CaptureOrder.in(root);
-        PeersOrder peers = PeersOrder.in(root);
-        VersionsOrder.Order versions = VersionsOrder.versions(root, peers, name);
-        AuditConfig audit = VersionsOrder.audit(root);
+        JsonNode configuration = readConfiguration();
+        String name = configuration == null ? "?" : instanceName(configuration);
+        ConfigBlock root = ConfigBlock.read(operator);
+        CaptureConfig captureOrder = CaptureConfig.readFrom(root);
+        PeersConfig peersOrder = PeersConfig.read(root);
+        OperatorConfigReader.VersionsBlock versionsOrder = OperatorConfigReader.readVersions(root, peersOrder, name);
+        AuditConfig auditConfig = OperatorConfigReader.readAudit(root);
         root.check();
-        if (told == null || !told.path("settings").isObject()) {
+        if (configuration == null || !configuration.path("settings").isObject()) {
             // The start tells what is wrong with it.
             return InstanceRunner.run(System.getenv());
         }
-        CaptureWriter recorder = capture == null ? null : recorder(capture, told);
-        Beside beside = new Beside(name, told, peers, versions, audit, rigged);
-        return InstanceRunner.run(System.getenv(), Recorders.both(beside.audit, recorder), beside.clock, beside);
+        CaptureWriter captureWriter = captureOrder == null ? null : newCaptureWriter(captureOrder, configuration);
+        PeeringExtension extensions = new PeeringExtension(name, configuration, peersOrder, versionsOrder, auditConfig,
+                rigFile);
+        return InstanceRunner.run(System.getenv(), CompositeRecorder.combine(extensions.audit, captureWriter),
+                extensions.clock, extensions);
     }
 
-    private static String name(JsonNode told) {
+    private static String instanceName(JsonNode configuration) {
         String name = System.getenv("GW_NAME");
-        return name == null ? told.path("name").asText() : name;
+        return name == null ? configuration.path("name").asText() : name;
     }
 
     /** Null where the configuration is of no use: the start tells of that itself. */
-    private static JsonNode told() {
+    private static JsonNode readConfiguration() {
         String file = System.getenv("GW_CONFIG");
         try {
             return file == null ? null : DeploymentReader.JSON.readTree(Files.readAllBytes(Path.of(file)));
@@ -68,12 +70,12 @@
         }
     }
 
-    private static CaptureWriter recorder(CaptureOrder order, JsonNode told) throws IOException {
+    private static CaptureWriter newCaptureWriter(CaptureConfig order, JsonNode configuration) throws IOException {
         Map<String, String> provenance = new LinkedHashMap<>();
-        provenance.put("name", name(told));
+        provenance.put("name", instanceName(configuration));
         provenance.put("started", Long.toString(System.currentTimeMillis()));
         provenance.put("program", "vetchrill 0.1.0");
-        provenance.put("settings", told.path("settings").toString());
+        provenance.put("settings", configuration.path("settings").toString());
         return new CaptureWriter(order, provenance);
     }
 }
--- a/lab/src/main/java/vetchrill/tool/SimulatedFleets.java
+++ b/lab/src/main/java/vetchrill/tool/SimulationCommand.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Option;
 
 /** What all ask who simulate fleets of several sizes, each case from several seeds. */
-abstract class SimulatedFleets {
+abstract class SimulationCommand {
     @Option(names = "--sizes", split = ",", defaultValue = "10,100", description = "Of the fleets (${DEFAULT-VALUE}).")
     List<Integer> sizes;
 
@@ -12,5 +12,5 @@
     int seeds;
 
     @Option(names = "--first-seed", defaultValue = "1", description = "The first of them (${DEFAULT-VALUE}).")
-    long first;
+    long firstSeed;
 }
--- a/lab/src/main/java/vetchrill/tool/ToolLog.java
+++ b/lab/src/main/java/vetchrill/tool/ToolLog.java
@@ -13,9 +13,9 @@
  */
 public final class ToolLog extends System.LoggerFinder {
     /** The properties by which the command line says what it wants, before the first line is logged. */
-    public static final String FORMAT = "vetchrill.log.format";
-    public static final String LEAST = "vetchrill.log.level";
-    public static final String TARGET = "vetchrill.log.target";
+    public static final String FORMAT_PROPERTY = "vetchrill.log.format";
+    public static final String LEVEL_PROPERTY = "vetchrill.log.level";
+    public static final String TARGET_PROPERTY = "vetchrill.log.target";
 
     /** A parameter with a name. */
     public record Field(String name, Object value) {
@@ -31,16 +31,16 @@
 
     @Override
     public System.Logger getLogger(String name, Module module) {
-        return new Lines(LoggerFactory.getLogger(name));
+        return new Slf4jLogger(LoggerFactory.getLogger(name));
     }
 
-    private record Lines(org.slf4j.Logger to) implements System.Logger {
+    private record Slf4jLogger(org.slf4j.Logger delegate) implements System.Logger {
         @Override
         public String getName() {
-            return to.getName();
+            return delegate.getName();
         }
 
-        private static org.slf4j.event.Level of(System.Logger.Level level) {
+        private static org.slf4j.event.Level toSlf4jLevel(System.Logger.Level level) {
             return switch (level) {
                 case ALL, TRACE -> org.slf4j.event.Level.TRACE;
                 case DEBUG -> org.slf4j.event.Level.DEBUG;
@@ -52,13 +52,13 @@
 
         @Override
         public boolean isLoggable(System.Logger.Level level) {
-            return level != System.Logger.Level.OFF && to.isEnabledForLevel(of(level));
+            return level != System.Logger.Level.OFF && delegate.isEnabledForLevel(toSlf4jLevel(level));
         }
 
         @Override
         public void log(System.Logger.Level level, ResourceBundle bundle, String text, Throwable thrown) {
             if (isLoggable(level)) {
-                to.atLevel(of(level)).setCause(thrown).log(text);
+                delegate.atLevel(toSlf4jLevel(level)).setCause(thrown).log(text);
             }
         }
 
@@ -67,16 +67,16 @@
             if (!isLoggable(level)) {
                 return;
             }
-            LoggingEventBuilder event = to.atLevel(of(level));
-            List<Object> plain = new ArrayList<>();
+            LoggingEventBuilder event = delegate.atLevel(toSlf4jLevel(level));
+            List<Object> arguments = new ArrayList<>();
             for (Object value : values == null ? new Object[0] : values) {
                 if (value instanceof Field field) {
                     event = event.addKeyValue(field.name, field.value);
                 } else {
-                    plain.add(String.valueOf(value));
+                    arguments.add(String.valueOf(value));
                 }
             }
-            event.log(plain.isEmpty() ? format : MessageFormat.format(format, plain.toArray()));
+            event.log(arguments.isEmpty() ? format : MessageFormat.format(format, arguments.toArray()));
         }
     }
 }
