--- a/lab/src/main/java/vetchrill/tool/TryCommand.java
+++ b/lab/src/main/java/vetchrill/tool/TryCommand.java
@@ -13,13 +13,13 @@
 import picocli.CommandLine.Option;
 import vetchrill.files.Folders;
 import vetchrill.fleet.Fleet;
-import vetchrill.fleet.FleetFile;
-import vetchrill.fleet.Trouble;
-import vetchrill.hcl.Block;
-import vetchrill.model.Demand;
-import vetchrill.model.Tally;
-import vetchrill.standin.Played;
-import vetchrill.standin.Rig;
+import vetchrill.fleet.FleetFileReader;
+import vetchrill.fleet.Fault;
+import vetchrill.hcl.ConfigBlock;
+import vetchrill.model.Workload;
+import vetchrill.model.ServiceStatistics;
+import vetchrill.standin.RigResult;
+import vetchrill.standin.FleetTestRig;
 
 @Command(name = "try", mixinStandardHelpOptions = true,
         description = "Run real instances on loopback with this project's own stand-ins, and show second "
@@ -28,7 +28,7 @@
 final class TryCommand implements Callable<Integer> {
     @Option(names = "--fleet", paramLabel = "FILE",
             description = "The fleet to run (HCL); a small one where not given.")
-    private Path file;
+    private Path fleetFile;
 
     @Option(names = "--seconds", defaultValue = "20", description = "How long (${DEFAULT-VALUE}).")
     private int seconds;
@@ -40,7 +40,7 @@
             description = "What goes wrong in the middle third: twice "
             + "the load; half of the machines four times slower; or connections and links reset "
             + "five times a second.")
-    private String trouble;
+    private String fault;
 
     @Option(names = "--seed", defaultValue = "1", description = "Of all that is drawn (${DEFAULT-VALUE}).")
     private long seed;
@@ -51,60 +51,62 @@
     @Override
     public Integer call() throws IOException, InterruptedException {
         if (seconds < 3 || seconds > 3_600 || !(load > 0 && load <= 100)) {
-            throw new BadUse("--seconds should be 3 to 3600 and --load above 0 and at most 100");
+            throw new UsageException("--seconds should be 3 to 3600 and --load above 0 and at most 100");
         }
-        long third = seconds * 10_000L / 3;
-        List<Trouble> troubles = new ArrayList<>();
-        if (trouble != null) {
-            troubles.add(switch (trouble) {
-                case "burst" -> new Trouble.Burst(third, 2 * third, 2);
-                case "slow" -> new Trouble.Slow(third, 2 * third, 0.5, 4);
-                case "reset" -> new Trouble.Reset(third, 2 * third, 2_000);
-                default -> throw new BadUse("--trouble is " + trouble + ", should be burst, slow or reset");
+        long thirdOfRun = seconds * 10_000L / 3;
+        List<Fault> faults = new ArrayList<>();
+        if (fault != null) {
+            faults.add(switch (fault) {
+                case "burst" -> new Fault.Burst(thirdOfRun, 2 * thirdOfRun, 2);
+                case "slow" -> new Fault.Slowdown(thirdOfRun, 2 * thirdOfRun, 0.5, 4);
+                case "reset" -> new Fault.ConnectionReset(thirdOfRun, 2 * thirdOfRun, 2_000);
+                default -> throw new UsageException("--trouble is " + fault + ", should be burst, slow or reset");
             });
         }
-        Fleet fleet = file == null ? small() : FleetFile.read(file);
-        if (!fleet.wanting().isEmpty()) {
-            throw new BadUse("to be run, the fleet must tell " + String.join(", ", fleet.wanting()));
+        Fleet fleet = fleetFile == null ? smallFleet() : FleetFileReader.read(fleetFile);
+        if (!fleet.missingValues().isEmpty()) {
+            throw new UsageException("to be run, the fleet must tell " + String.join(", ", fleet.missingValues()));
         }
-        troubles.addAll(fleet.troubles);
-        Fleet playing = fleet.withLoad(fleet.fullLoad() * load).withTroubles(troubles);
-        Path where = folder == null ? Files.createTempDirectory("vetchrill-try") : folder;
-        try (Rig rig = new Rig(playing, new Demand.Told(playing), seconds * 10_000L, seed, where, folder == null ? 0
+        faults.addAll(fleet.faults);
+        Fleet loadedFleet = fleet.withLoad(fleet.fullLoad() * load).withFaults(faults);
+        Path runFolder = folder == null ? Files.createTempDirectory("vetchrill-try") : folder;
+        try (FleetTestRig rig = new FleetTestRig(loadedFleet, new Workload.ConfiguredWorkload(loadedFleet),
+                seconds * 10_000L, seed, runFolder, folder == null ? 0
                 : 200)) {
             System.out.printf("%d relays, %d stubs, %.0f first tries a second, %.0f%% of what the cores "
                     + "can do; starting%n",
-                    fleet.relays(), fleet.stubs(), playing.load.perS(), 100 * load);
+                    fleet.instanceCount(), fleet.stubCount(), loadedFleet.load.perSecond(), 100 * load);
             rig.start();
-            rig.go();
-            head();
+            rig.startLoad();
+            printHeader();
             for (int second = 0; second < seconds; second++) {
-                while (rig.elapsed() < (second + 1L) * Tally.SECOND) {
+                while (rig.elapsed() < (second + 1L) * ServiceStatistics.SECOND_TENTHS_MS) {
                     Thread.sleep(10);
                 }
-                line(rig, second, troubles);
+                printSecond(rig, second, faults);
             }
             long end = seconds * 10_000L + fleet.longestTimeout();
             while (rig.elapsed() < end + 1_000) {
                 Thread.sleep(10);
             }
-            Played played = rig.end();
-            sum(rig, played);
-            return played.wrongResults() + played.doubleRuns() + played.changedBodies() == 0 ? 0 : 1;
+            RigResult result = rig.finish();
+            printSummary(rig, result);
+            return result.wrongResults() + result.duplicateRuns() + result.corruptedBodies() == 0 ? 0 : 1;
         } finally {
             if (folder == null) {
-                Folders.remove(where);
+                Folders.deleteRecursively(runFolder);
             }
         }
     }
 
-    static Fleet small() throws IOException {
+    static Fleet smallFleet() throws IOException {
         try (InputStream in = TryCommand.class.getResourceAsStream("/vetchrill/try.hcl")) {
-            return FleetFile.read(Block.parse("try.hcl", new String(in.readAllBytes(), StandardCharsets.UTF_8)));
+            return FleetFileReader.read(ConfigBlock.parse("try.hcl",
+                    new String(in.readAllBytes(), StandardCharsets.UTF_8)));
         }
     }
 
-    private static void head() {
+    private static void printHeader() {
         System.out.printf("%6s %7s %7s %10s %10s %10s %9s %9s  %s%n", "second", "asked", "tries", "completed", "denied",
                 "terminated", "p50, ms", "p99, ms", "trouble");
     }
@@ -112,29 +114,34 @@
     private long completedBefore;
     private long failedBefore;
 
-    private void line(Rig rig, int second, List<Trouble> troubles) {
-        Tally tally = rig.tally();
+    private void printSecond(FleetTestRig rig, int second, List<Fault> faults) {
+        ServiceStatistics tally = rig.statistics();
         Histogram latency = rig.latency();
         long completed = tally.completed() - completedBefore;
         long failed = tally.failed() - failedBefore;
         completedBefore += completed;
         failedBefore += failed;
-        long at = (second + 1L) * Tally.SECOND;
-        boolean bad = troubles.stream().anyMatch(each -> at > each.from() && at <= each.until() + Tally.SECOND);
-        System.out.printf("%6d %7d %7d %10d %10d %10d %9.1f %9.1f  %s%n", second + 1, tally.firsts[second],
-                tally.tries[second], completed, tally.denied[second], failed, latency.getValueAtPercentile(50) / 10.0,
-                latency.getValueAtPercentile(99) / 10.0, bad ? trouble == null ? "of the fleet file" : trouble : "");
+        long secondEnd = (second + 1L) * ServiceStatistics.SECOND_TENTHS_MS;
+        boolean faultActive = faults.stream()
+                .anyMatch(each -> secondEnd > each.from() && secondEnd <= each.until()
+                + ServiceStatistics.SECOND_TENTHS_MS);
+        System.out.printf("%6d %7d %7d %10d %10d %10d %9.1f %9.1f  %s%n", second + 1, tally.firstAttempts[second],
+                tally.allAttempts[second], completed, tally.deniedAttempts[second], failed,
+                latency.getValueAtPercentile(50) / 10.0,
+                latency.getValueAtPercentile(99) / 10.0, faultActive ? fault == null ? "of the fleet file" : fault
+                : "");
     }
 
-    private void sum(Rig rig, Played played) {
-        Tally tally = played.tally();
+    private void printSummary(FleetTestRig rig, RigResult result) {
+        ServiceStatistics tally = result.statistics();
         System.out.printf("completed %d, denied in the end %d, terminated or unanswered %d; %.1f%% of "
                 + "benefit within the SLO "
                 + "time; %.2f tries for each first one%n", tally.completed(), tally.endedDenied(), tally.failed(),
-                100 * tally.service(0, tally.seconds), tally.inflation(0, tally.seconds));
+                100 * tally.service(0, tally.seconds), tally.retryFactor(0, tally.seconds));
         System.out.printf("wrong results %d, double runs %d, changed bodies %d; the load itself was %.1f "
                 + "ms late (p99)%s%n",
-                played.wrongResults(), played.doubleRuns(), played.changedBodies(), played.late() / 10.0,
-                played.invalid() ? ": too late, this run shows nothing" : "");
+                result.wrongResults(), result.duplicateRuns(), result.corruptedBodies(),
+                result.latenessP99TenthsMs() / 10.0,
+                result.invalid() ? ": too late, this run shows nothing" : "");
     }
 }
--- a/lab/src/main/java/vetchrill/tool/BadUse.java
+++ b/lab/src/main/java/vetchrill/tool/UsageException.java
@@ -1,10 +1,10 @@
 package vetchrill.tool;
 
 /** What was asked for can't be done as it was asked; the message says what is allowed. */
-public final class BadUse extends RuntimeException {
+public final class UsageException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    public BadUse(String message) {
+    public UsageException(String message) {
         super(message);
     }
 }
--- a/lab/src/main/java/vetchrill/tool/Vetchrill.java
+++ b/lab/src/main/java/vetchrill/tool/Vetchrill.java
@@ -7,8 +7,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ScopeType;
-import vetchrill.capture.CaptureFault;
-import vetchrill.hcl.Mistakes;
+import vetchrill.capture.CaptureException;
+import vetchrill.hcl.ConfigErrors;
 import vetchrill.wire.WireFormatException;
 
 /** The one command line over the instance and the tools. */
@@ -23,8 +23,8 @@
         exitCodeList = {"0:done", "1:done, and what was asked about does not hold, or an input on the wire was wrong",
             "2:wrong usage or bad input: one line on standard error for each mistake", "70:the program failed"})
 public final class Vetchrill {
-    static final int BAD = 2;
-    static final int FAILED = 70;
+    static final int EXIT_BAD_INPUT = 2;
+    static final int EXIT_FAILED = 70;
 
     @Option(names = "--log-format", paramLabel = "text|json", scope = ScopeType.INHERIT, defaultValue = "text",
             description = "How log lines are written: ${DEFAULT-VALUE} where not given.")
@@ -33,7 +33,7 @@
             throw new CommandLine.ParameterException(new CommandLine(this),
                     "--log-format should be text or json, not " + format);
         }
-        System.setProperty(ToolLog.FORMAT, format);
+        System.setProperty(ToolLog.FORMAT_PROPERTY, format);
     }
 
     public static void main(String[] args) {
@@ -41,41 +41,41 @@
     }
 
     static int run(String... args) {
-        CommandLine line = new CommandLine(new Vetchrill());
-        ServiceLoader.load(ToolCommand.class).forEach(line::addSubcommand);
-        line.setParameterExceptionHandler((e, given) -> {
-            line.getErr().println("vetchrill: " + oneLine(e.getMessage()));
-            return BAD;
+        CommandLine commandLine = new CommandLine(new Vetchrill());
+        ServiceLoader.load(ToolCommand.class).forEach(commandLine::addSubcommand);
+        commandLine.setParameterExceptionHandler((e, arguments) -> {
+            commandLine.getErr().println("vetchrill: " + oneLine(e.getMessage()));
+            return EXIT_BAD_INPUT;
         });
-        line.setExecutionExceptionHandler((e, of, parsed) -> {
-            if (e instanceof Mistakes mistakes) {
-                mistakes.each.forEach(each -> line.getErr().println("vetchrill: " + each));
-                return BAD;
+        commandLine.setExecutionExceptionHandler((e, command, parsed) -> {
+            if (e instanceof ConfigErrors mistakes) {
+                mistakes.messages.forEach(each -> commandLine.getErr().println("vetchrill: " + each));
+                return EXIT_BAD_INPUT;
             }
-            if (e instanceof CaptureFault || e instanceof BadUse) {
-                line.getErr().println("vetchrill: " + oneLine(e.getMessage()));
-                return BAD;
+            if (e instanceof CaptureException || e instanceof UsageException) {
+                commandLine.getErr().println("vetchrill: " + oneLine(e.getMessage()));
+                return EXIT_BAD_INPUT;
             }
             if (e instanceof NoSuchFileException) {
-                line.getErr().println("vetchrill: " + e.getMessage() + ": no such file");
-                return BAD;
+                commandLine.getErr().println("vetchrill: " + e.getMessage() + ": no such file");
+                return EXIT_BAD_INPUT;
             }
             if (e instanceof WireFormatException) {
-                line.getErr().println("vetchrill: " + oneLine(e.getMessage()));
+                commandLine.getErr().println("vetchrill: " + oneLine(e.getMessage()));
                 return 1;
             }
             if (e instanceof IOException) {
-                line.getErr().println("vetchrill: " + oneLine(String.valueOf(e.getMessage())));
-                return FAILED;
+                commandLine.getErr().println("vetchrill: " + oneLine(String.valueOf(e.getMessage())));
+                return EXIT_FAILED;
             }
             e.printStackTrace();
-            return FAILED;
+            return EXIT_FAILED;
         });
         if (args.length == 0) {
-            line.usage(line.getErr());
-            return BAD;
+            commandLine.usage(commandLine.getErr());
+            return EXIT_BAD_INPUT;
         }
-        return line.execute(args);
+        return commandLine.execute(args);
     }
 
     private static String oneLine(String text) {
--- a/lab/src/test/java/vetchrill/InstanceRig.java
+++ b/lab/src/test/java/vetchrill/InstanceRig.java
@@ -49,7 +49,7 @@
     private Path configFile;
 
     public InstanceRig() throws IOException {
-        port = Ports.free();
+        port = Ports.findFree();
     }
 
     /** Returns the next element of the queue, or fails after a timeout with the description in the message. */
@@ -207,18 +207,18 @@
         public volatile boolean withholdsGauges;
         public volatile boolean withholdsBanner;
         public volatile String gauges = "0.5 1 0.1 1";
-        final vetchrill.standin.Interpreter fake;
+        final vetchrill.standin.FakeInterpreter fake;
 
         FakeInterpreter() throws IOException {
-            fake = new vetchrill.standin.Interpreter(work(), false);
+            fake = new vetchrill.standin.FakeInterpreter(work(), false);
         }
 
-        private FakeInterpreter(vetchrill.standin.Interpreter from) throws IOException {
-            fake = from.moved(work());
+        private FakeInterpreter(vetchrill.standin.FakeInterpreter from) throws IOException {
+            fake = from.copyAtNewPort(work());
         }
 
-        private vetchrill.standin.Interpreter.Work work() {
-            return new vetchrill.standin.Interpreter.Work() {
+        private vetchrill.standin.FakeInterpreter.CommandHandler work() {
+            return new vetchrill.standin.FakeInterpreter.CommandHandler() {
                 @Override
                 public void apply(String id, String group, byte[] body) {
                     commands.add("APPLY " + id + " " + group + " " + body.length + "\n"
@@ -231,7 +231,7 @@
                 }
 
                 @Override
-                public boolean connected(int lastRead) {
+                public boolean onConnect(int lastRead) {
                     commands.add("CONNECT " + lastRead);
                     return !withholdsBanner;
                 }
@@ -249,12 +249,12 @@
 
         /** Sends a banner and the notices with numbers above {@code after}. */
         public void banner(int after) throws IOException {
-            fake.banner(after);
+            fake.sendBanner(after);
         }
 
         /** Ends a run with a result; the notice is kept while there is no link. */
         public void value(String id, String outcome, String result) {
-            fake.value(id, outcome, 125, result.getBytes(StandardCharsets.ISO_8859_1));
+            fake.sendValue(id, outcome, 125, result.getBytes(StandardCharsets.ISO_8859_1));
         }
 
         public void write(String text) throws IOException {
@@ -262,7 +262,7 @@
         }
 
         public void disconnect() throws IOException {
-            fake.cut();
+            fake.closeLink();
         }
     }
 
@@ -270,10 +270,10 @@
     public static final class FakeMembership {
         /** The phases reported for this instance; a report under another name is recorded as the whole call. */
         public final BlockingQueue<String> phases = new LinkedBlockingQueue<>();
-        public final vetchrill.standin.Membership fake;
+        public final vetchrill.standin.FakeMembershipService fake;
 
         public FakeMembership() throws IOException {
-            fake = new vetchrill.standin.Membership((name, up, call) ->
+            fake = new vetchrill.standin.FakeMembershipService((name, up, call) ->
                     phases.add(!name.equals("n1") ? call : up ? "UP" : "OUT"));
         }
 
--- a/lab/src/test/java/vetchrill/auditing/AuditColumnsTest.java
+++ b/lab/src/test/java/vetchrill/auditing/AuditColumnsTest.java
@@ -30,7 +30,7 @@
         Path folder = Path.of(AuditColumnsTest.class.getResource("/formats/instance-1-00000000.audit").toURI())
                 .getParent();
         Path export = Files.createTempDirectory("audit-columns").resolve("audit.arrow");
-        assertEquals(AuditColumns.write(new Fleetwide(List.of(folder)), export), 8);
+        assertEquals(AuditColumns.write(new FleetAudit(List.of(folder)), export), 8);
         try (RootAllocator memory = new RootAllocator();
                 FileChannel file = FileChannel.open(export);
                 ArrowFileReader reader = new ArrowFileReader(file, memory)) {
--- a/lab/src/test/java/vetchrill/auditing/PowerLossTest.java
+++ b/lab/src/test/java/vetchrill/auditing/PowerLossTest.java
@@ -5,8 +5,8 @@
 
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import vetchrill.standin.AuditPlay;
-import vetchrill.standin.PowerPlay;
+import vetchrill.standin.AuditScenario;
+import vetchrill.standin.PowerLossScenario;
 
 /** Real processes whose power goes together, under load, in the middle of versions and floors. */
 @Test
@@ -18,13 +18,16 @@
 
     /** Nothing that binds goes back, and disks that are not what they were are told apart. */
     @Test(dataProvider = "plays")
-    public void nothingThatBindsGoesBack(int size, int keepers, int losses, boolean disks, int seed) throws Exception {
-        PowerPlay.Outcome outcome = PowerPlay.play(size, keepers, losses, disks, seed, AuditPlay.folder());
-        assertEquals(outcome.wrong.toString(), "[]");
-        assertEquals(outcome.wentBack, 0);
-        assertTrue(outcome.losses >= losses);
+    public void committedStateNeverGoesBack(int size, int voters, int losses, boolean damageDisks, int seed)
+            throws Exception {
+        PowerLossScenario.Outcome outcome = PowerLossScenario.run(size, voters, losses, damageDisks, seed,
+                AuditScenario.createFolder());
+        assertEquals(outcome.violations.toString(), "[]");
+        assertEquals(outcome.regressions, 0);
+        assertTrue(outcome.powerLosses >= losses);
         assertTrue(outcome.audit.exchanges > 100, outcome.audit.exchanges + " exchanges");
-        assertTrue(!disks || outcome.damaged > 2 && outcome.toldApart >= outcome.damaged, outcome.toldApart + " of "
-                + outcome.damaged);
+        assertTrue(!damageDisks || outcome.disksDamaged > 2 && outcome.damageDetected >= outcome.disksDamaged,
+                outcome.damageDetected + " of "
+                + outcome.disksDamaged);
     }
 }
--- a/lab/src/test/java/vetchrill/capture/CaptureSchemaTest.java
+++ b/lab/src/test/java/vetchrill/capture/CaptureSchemaTest.java
@@ -17,7 +17,7 @@
 import org.apache.arrow.vector.types.pojo.Field;
 import org.apache.arrow.vector.types.pojo.Schema;
 import org.testng.annotations.Test;
-import vetchrill.hcl.Block;
+import vetchrill.hcl.ConfigBlock;
 import vetchrill.routing.Recorder;
 
 /** The columns, their types and the metadata keys of a capture file, against formats/capture-schema.txt. */
@@ -71,7 +71,8 @@
 
     public void writesTheListedColumns() throws Exception {
         Path folder = Files.createTempDirectory("captures");
-        CaptureWriter writer = new CaptureWriter(CaptureOrder.in(Block.parse("o.hcl", "capture {\n directory = \""
+        CaptureWriter writer =
+                new CaptureWriter(CaptureConfig.readFrom(ConfigBlock.parse("o.hcl", "capture {\n directory = \""
                 + folder + "\"\n zone = \"z\"\n kind = \"k\"\n"
                 + " subject_key = \"000102030405060708090a0b0c0d0e0f\"\n}\n")),
                 Map.of("name", "r1", "started", "1", "settings", "{}", "program", "1.0"));
--- a/lab/src/test/java/vetchrill/capture/CaptureTest.java
+++ b/lab/src/test/java/vetchrill/capture/CaptureTest.java
@@ -12,8 +12,8 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
-import vetchrill.hcl.Block;
-import vetchrill.hcl.Mistakes;
+import vetchrill.hcl.ConfigBlock;
+import vetchrill.hcl.ConfigErrors;
 import vetchrill.routing.Recorder;
 
 @Test
@@ -21,14 +21,16 @@
     private static final String SETTINGS = "{\"categories\":[{\"name\":\"look\",\"effect\":\"free\",\"aimMs\":400,"
             + "\"deadlineMs\":1000}],\"customers\":[{\"name\":\"acme\"}],\"familyInfo\":{\"cores\":2}}";
 
-    private static CaptureOrder order(Path folder, String more) {
-        return CaptureOrder.in(Block.parse("o.hcl", "capture {\n directory = \"" + folder + "\"\n zone = \"z\"\n"
-                + " kind = \"k\"\n subject_key = \"000102030405060708090a0b0c0d0e0f\"\n flush_ms = 10\n" + more
+    private static CaptureConfig settings(Path folder, String extraKeys) {
+        return CaptureConfig.readFrom(ConfigBlock.parse("o.hcl",
+                "capture {\n directory = \"" + folder + "\"\n zone = \"z\"\n"
+                + " kind = \"k\"\n subject_key = \"000102030405060708090a0b0c0d0e0f\"\n flush_ms = 10\n" + extraKeys
                         + "}\n"));
     }
 
-    static CaptureWriter writer(Path folder, String name, String more) throws IOException {
-        return new CaptureWriter(order(folder, more), Map.of("name", name, "started", "1", "settings", SETTINGS));
+    static CaptureWriter writer(Path folder, String name, String extraKeys) throws IOException {
+        return new CaptureWriter(settings(folder, extraKeys),
+                Map.of("name", name, "started", "1", "settings", SETTINGS));
     }
 
     /** One row: a try of {@code subject} that comes at a time and is answered 20 ms later. */
@@ -67,15 +69,15 @@
 
     public void whatWasPutIsReadBack() throws Exception {
         Capture capture = Capture.read(Path.of("x"), written(100));
-        assertTrue(capture.whole);
+        assertTrue(capture.complete);
         assertEquals(capture.rows, 100);
         assertEquals(capture.name, "r1");
         assertEquals(capture.zone, "z");
         for (int i = 0; i < 100; i++) {
-            assertEquals(capture.arrived[i], 1_000_000 + 50L * i);
-            assertEquals(capture.heard[i], capture.arrived[i] + 100);
-            assertEquals(capture.bytes[i], (1 + i) % 2_000);
-            assertEquals(capture.answer[i], Recorder.COMPLETED);
+            assertEquals(capture.arrivedAt[i], 1_000_000 + 50L * i);
+            assertEquals(capture.dequeuedAt[i], capture.arrivedAt[i] + 100);
+            assertEquals(capture.bodyBytes[i], (1 + i) % 2_000);
+            assertEquals(capture.answerKind[i], Recorder.COMPLETED);
         }
     }
 
@@ -88,10 +90,10 @@
             int length = 1 + chance.nextInt(all.length - 1);
             try {
                 Capture cut = Capture.read(Path.of("x"), java.util.Arrays.copyOf(all, length));
-                assertFalse(cut.whole && cut.cutBytes > 0, "cut at " + length);
+                assertFalse(cut.complete && cut.cutBytes > 0, "cut at " + length);
                 assertTrue(cut.rows <= 60);
                 most = Math.max(most, cut.rows);
-            } catch (CaptureFault e) {
+            } catch (CaptureException e) {
                 assertTrue(e.getMessage().endsWith("holds no whole part"), e.getMessage());
             }
         }
@@ -110,7 +112,7 @@
                 Capture read = Capture.read(Path.of("x"), damaged);
                 // A length that grew past the end looks like a cut, and is told as one.
                 assertTrue(read.cutBytes > 0, "not noticed at " + at);
-            } catch (CaptureFault e) {
+            } catch (CaptureException e) {
                 assertTrue(e.getMessage().startsWith("x: "), e.getMessage());
             }
         }
@@ -119,17 +121,17 @@
     /** Found by fuzzing: a part whose sum was right and which claimed two gigabytes took them before it was refused. */
     public void aPartThatClaimsMoreThanItHoldsIsRefusedBeforeRoomIsMadeForIt() throws Exception {
         byte[] damaged = written(60);
-        int length = Parts.number(damaged, 8);
+        int length = CaptureFormat.getInt(damaged, 8);
         // The size of the first message, behind the word that says that one follows.
         for (int i = 0; i < 4; i++) {
-            damaged[Parts.HEAD + 4 + i] = (byte) (i == 3 ? 0x7f : 0xff);
+            damaged[CaptureFormat.HEADER_BYTES + 4 + i] = (byte) (i == 3 ? 0x7f : 0xff);
         }
         java.util.zip.CRC32C sum = new java.util.zip.CRC32C();
-        sum.update(damaged, Parts.HEAD, length);
-        Parts.put(damaged, 12, (int) sum.getValue());
+        sum.update(damaged, CaptureFormat.HEADER_BYTES, length);
+        CaptureFormat.putInt(damaged, 12, (int) sum.getValue());
         try {
             Capture.read(Path.of("x"), damaged);
-        } catch (CaptureFault e) {
+        } catch (CaptureException e) {
             assertEquals(e.getMessage(), "x: a part claims more than it holds");
             return;
         }
@@ -145,8 +147,8 @@
         }
         writer.close();
         Capture capture = Capture.read(writer.file());
-        assertTrue(capture.lost > 0, "nothing was lost of " + n);
-        assertEquals(capture.rows + capture.lost, n);
+        assertTrue(capture.droppedRows > 0, "nothing was lost of " + n);
+        assertEquals(capture.rows + capture.droppedRows, n);
     }
 
     public void aFileGrowsNoFurtherThanItMay() throws Exception {
@@ -159,7 +161,7 @@
         }
         writer.close();
         assertTrue(Files.size(writer.file()) < (1 << 20) + 10_000);
-        assertTrue(Capture.read(writer.file()).lost > 0);
+        assertTrue(Capture.read(writer.file()).droppedRows > 0);
     }
 
     /** Two relays, the clock of one 300 ms ahead: tries denied at one come to the other at once. */
@@ -175,10 +177,10 @@
         }
         one.close();
         two.close();
-        Merged merged = new Merged(Capture.readAll(folder));
-        assertTrue(merged.clocks.all());
-        assertEquals(merged.clocks.offset[1] - merged.clocks.offset[0], 3_000, 20.0);
-        assertEquals(merged.firstTries(), 40, 0.5);
+        CaptureMerge merged = new CaptureMerge(Capture.readAll(folder));
+        assertTrue(merged.clockOffsets.allCompared());
+        assertEquals(merged.clockOffsets.offset[1] - merged.clockOffsets.offset[0], 3_000, 20.0);
+        assertEquals(merged.firstAttempts(), 40, 0.5);
     }
 
     public void clocksThatCannotBeComparedAreSaidToBe() throws Exception {
@@ -190,8 +192,8 @@
             }
             writer.close();
         }
-        Merged merged = new Merged(Capture.readAll(folder));
-        assertFalse(merged.clocks.all());
+        CaptureMerge merged = new CaptureMerge(Capture.readAll(folder));
+        assertFalse(merged.clockOffsets.allCompared());
         assertTrue(merged.remarks.stream().anyMatch(each -> each.contains("clocks could not all be compared")),
                 merged.remarks.toString());
     }
@@ -206,9 +208,9 @@
         put(writer, 1_002_000, 7, Recorder.COMPLETED);
         put(writer, 1_900_000, 7, Recorder.COMPLETED);
         writer.close();
-        Merged merged = new Merged(Capture.readAll(folder));
+        CaptureMerge merged = new CaptureMerge(Capture.readAll(folder));
         List<Boolean> further = new ArrayList<>();
-        for (boolean each : merged.further) {
+        for (boolean each : merged.retry) {
             further.add(each);
         }
         assertEquals(further, List.of(false, true, true, false, false));
@@ -216,12 +218,13 @@
 
     public void anOrderWithMistakesNamesThem() {
         try {
-            Block root = Block.parse("o.hcl", "capture {\n directory = \"x\"\n zone = \"z\"\n subject_key = \"12\"\n"
+            ConfigBlock root = ConfigBlock.parse("o.hcl",
+                    "capture {\n directory = \"x\"\n zone = \"z\"\n subject_key = \"12\"\n"
                     + " ring_rows = 3\n}\n");
-            CaptureOrder.in(root);
+            CaptureConfig.readFrom(root);
             root.check();
-        } catch (Mistakes e) {
-            assertEquals(e.each, List.of("o.hcl:1: kind: is missing in capture, should be a text in quotes",
+        } catch (ConfigErrors e) {
+            assertEquals(e.messages, List.of("o.hcl:1: kind: is missing in capture, should be a text in quotes",
                     "o.hcl:4: subject_key: should be 32 hexadecimal digits, the same on every relay",
                     "o.hcl:5: ring_rows: is 3, should be a number from 64 to 1048576"));
             return;
--- a/lab/src/test/java/vetchrill/hcl/BlockTest.java
+++ b/lab/src/test/java/vetchrill/hcl/ConfigBlockTest.java
@@ -7,21 +7,21 @@
 import java.util.List;
 import org.testng.Assert;
 import org.testng.annotations.Test;
-import vetchrill.fleet.FleetFile;
+import vetchrill.fleet.FleetFileReader;
 
 @Test
-public class BlockTest {
-    private static List<String> mistakes(String text) {
+public class ConfigBlockTest {
+    private static List<String> errorsIn(String text) {
         try {
-            FleetFile.read(Block.parse("f.hcl", text));
-        } catch (Mistakes e) {
-            return e.each;
+            FleetFileReader.read(ConfigBlock.parse("f.hcl", text));
+        } catch (ConfigErrors errors) {
+            return errors.messages;
         }
         throw new AssertionError("taken as it is");
     }
 
     public void allMistakesOfAFileAreToldAtOnceWithTheirLines() {
-        List<String> told = mistakes("kind \"a\" {\n  cores = 0\n  memory_mb = \"much\"\n  colour = 3\n  "
+        List<String> told = errorsIn("kind \"a\" {\n  cores = 0\n  memory_mb = \"much\"\n  colour = 3\n  "
                 + "crowd_from = 2\n}\n"
                 + "zone \"z\" { relays = { b = 1 } }\ngroup \"g\" {\n  slo_ms = 500\n  timeout_ms = 100\n}\n"
                 + "stubs \"s\" {\n  count = 1.5\n  retry = \"often\"\n}\n");
@@ -39,18 +39,18 @@
     }
 
     public void whatIsMissingIsNamedWithItsBlock() {
-        assertTrue(mistakes("kind \"a\" {\n  memory_mb = 1\n}\n").contains(
+        assertTrue(errorsIn("kind \"a\" {\n  memory_mb = 1\n}\n").contains(
                 "f.hcl:1: cores: is missing in kind \"a\", should be a number from 1 to 1024"));
     }
 
     public void textThatEndsInTheMiddleIsNoFleet() {
         for (String text : new String[] {"kind \"a\" {\n cores = 2\n", "name = \"x", "kind", "}",
                 "kind \"a\" { cores = }"}) {
-            assertThrows(Mistakes.class, () -> FleetFile.read(Block.parse("f.hcl", text)));
+            assertThrows(ConfigErrors.class, () -> FleetFileReader.read(ConfigBlock.parse("f.hcl", text)));
         }
     }
 
     public void aKeyGivenTwiceIsAMistake() {
-        Assert.assertTrue(mistakes("name = \"a\"\nname = \"b\"\n").contains("f.hcl:2: name: is given twice"));
+        Assert.assertTrue(errorsIn("name = \"a\"\nname = \"b\"\n").contains("f.hcl:2: name: is given twice"));
     }
 }
--- a/lab/src/test/java/vetchrill/model/QueueTest.java
+++ b/lab/src/test/java/vetchrill/model/EventQueueTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.Test;
 
 @Test
-public class QueueTest {
+public class EventQueueTest {
     private static final class Numbered extends Event {
         final int which;
 
@@ -17,7 +17,7 @@
         }
 
         @Override
-        public void happen(long now) {
+        public void execute(long now) {
             throw new AssertionError("not played here");
         }
     }
@@ -25,8 +25,8 @@
     /** Near, far, of one time, and long after a silence: the wheel gives what the heap gives. */
     public void theWheelGivesEventsInTheOrderOfTheHeap() {
         SplittableRandom chance = new SplittableRandom(5);
-        TimeWheel wheel = new TimeWheel();
-        HeapQueue heap = new HeapQueue();
+        TimingWheelQueue wheel = new TimingWheelQueue();
+        HeapEventQueue heap = new HeapEventQueue();
         for (int i = 0; i < 200_000; i++) {
             if (chance.nextInt(100) < 55) {
                 long ahead = switch (chance.nextInt(5)) {
@@ -56,7 +56,7 @@
     }
 
     public void whatIsAddedForThePastComesNext() {
-        TimeWheel wheel = new TimeWheel();
+        TimingWheelQueue wheel = new TimingWheelQueue();
         Event late = new Numbered(1);
         wheel.add(500, new Numbered(0));
         wheel.poll();
--- a/lab/src/test/java/vetchrill/peering/PeersTest.java
+++ b/lab/src/test/java/vetchrill/peering/PeersTest.java
@@ -20,7 +20,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 import vetchrill.InstanceRig;
-import vetchrill.standin.Between;
+import vetchrill.standin.LinkProxy;
 import vetchrill.standin.Ports;
 import vetchrill.members.MemberInfo;
 import vetchrill.members.MemberInfo.State;
@@ -31,28 +31,28 @@
 @Test
 public class PeersTest {
     private static final int SIZE = 5;
-    private static final int PATIENCE_S = 30;
+    private static final int TIMEOUT_S = 30;
 
-    private final List<Closeable> open = new ArrayList<>();
+    private final List<Closeable> resources = new ArrayList<>();
     private Path folder;
     private int[] ports;
-    private Between[][] ways;
+    private LinkProxy[][] links;
     private InstanceRig[] instances;
 
     @BeforeMethod
-    public void fiveThatHearEachOther() throws Exception {
+    public void startFiveConnectedInstances() throws Exception {
         folder = Files.createTempDirectory("peers");
         ports = new int[SIZE];
-        ways = new Between[SIZE][SIZE];
+        links = new LinkProxy[SIZE][SIZE];
         instances = new InstanceRig[SIZE];
         for (int i = 0; i < SIZE; i++) {
-            ports[i] = Ports.free();
+            ports[i] = Ports.findFree();
         }
         for (int i = 0; i < SIZE; i++) {
             for (int j = 0; j < SIZE; j++) {
                 if (i != j) {
-                    ways[i][j] = new Between(new InetSocketAddress(InetAddress.getLoopbackAddress(), ports[j]));
-                    open.add(ways[i][j]);
+                    links[i][j] = new LinkProxy(new InetSocketAddress(InetAddress.getLoopbackAddress(), ports[j]));
+                    resources.add(links[i][j]);
                 }
             }
         }
@@ -60,17 +60,17 @@
             instances[i] = start(i, ports[i]);
         }
         for (int i = 0; i < SIZE; i++) {
-            until(i, held -> held.size() == SIZE
-                    && held.values().stream().allMatch(each -> each.state() == State.ALIVE));
+            await(i, members -> members.size() == SIZE
+                    && members.values().stream().allMatch(each -> each.state() == State.ALIVE));
         }
     }
 
     @AfterMethod(alwaysRun = true)
-    public void end() throws IOException {
-        for (Closeable each : open) {
+    public void closeAll() throws IOException {
+        for (Closeable each : resources) {
             each.close();
         }
-        open.clear();
+        resources.clear();
     }
 
     private static String name(int i) {
@@ -83,37 +83,37 @@
         for (int j = 0; j < SIZE; j++) {
             if (j != i) {
                 file.append("  peer \"").append(name(j)).append("\" { address = \"127.0.0.1:")
-                        .append(ways[i][j].address().getPort()).append("\" }\n");
+                        .append(links[i][j].address().getPort()).append("\" }\n");
             }
         }
         Path operator = folder.resolve(name(i) + "-" + port + ".hcl");
         Files.writeString(operator, file.append("}\n").toString());
-        InstanceRig world = new InstanceRig();
-        open.add(world);
-        world.replacements.put("\"name\":\"n1\"", "\"name\":\"" + name(i) + "\"");
-        world.start(new ProcessBuilder(System.getProperty("java.home") + "/bin/java", "-XX:+UseSerialGC",
+        InstanceRig instance = new InstanceRig();
+        resources.add(instance);
+        instance.replacements.put("\"name\":\"n1\"", "\"name\":\"" + name(i) + "\"");
+        instance.start(new ProcessBuilder(System.getProperty("java.home") + "/bin/java", "-XX:+UseSerialGC",
                 "-XX:TieredStopAtLevel=1", "-Xmx64m", "--add-opens=java.base/java.nio=ALL-UNNAMED", "-cp",
                 System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
                 "vetchrill.tool.Vetchrill", "serve", "--operator", operator.toString()));
-        return world;
+        return instance;
     }
 
-    private Map<String, MemberInfo> held(int i) throws IOException {
-        Map<String, MemberInfo> held = new TreeMap<>();
-        MembershipMessage all = PeerClient.queryMembership(new InetSocketAddress(InetAddress.getLoopbackAddress(),
+    private Map<String, MemberInfo> queryMembers(int i) throws IOException {
+        Map<String, MemberInfo> members = new TreeMap<>();
+        MembershipMessage reply = PeerClient.queryMembership(new InetSocketAddress(InetAddress.getLoopbackAddress(),
                 ports[i]));
-        held.put(all.sender().name(), all.sender());
-        all.updates().forEach(each -> held.put(each.name(), each));
-        return held;
+        members.put(reply.sender().name(), reply.sender());
+        reply.updates().forEach(each -> members.put(each.name(), each));
+        return members;
     }
 
-    private void until(int i, Predicate<Map<String, MemberInfo>> so) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+    private void await(int i, Predicate<Map<String, MemberInfo>> condition) throws Exception {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         Map<String, MemberInfo> last = Map.of();
         while (System.nanoTime() < end) {
             try {
-                last = held(i);
-                if (so.test(last)) {
+                last = queryMembers(i);
+                if (condition.test(last)) {
                     return;
                 }
             } catch (IOException e) {
@@ -124,84 +124,85 @@
         throw new AssertionError(name(i) + " came to hold " + last + "\n" + instances[i].logText());
     }
 
-    private void untilAllHold(int of, State state, int... but) throws Exception {
+    private void awaitStateSeenByAll(int subject, State state, int... excluded) throws Exception {
         for (int i = 0; i < SIZE; i++) {
             int viewer = i;
-            if (i != of && java.util.Arrays.stream(but).noneMatch(each -> each == viewer)) {
-                until(i, held -> held.get(name(of)).state() == state);
+            if (i != subject && java.util.Arrays.stream(excluded).noneMatch(each -> each == viewer)) {
+                await(i, members -> members.get(name(subject)).state() == state);
             }
         }
     }
 
-    public void oneThatIsKilledIsHeldDeadByAllAndComesBackInALaterLife() throws Exception {
-        MemberInfo before = held(0).get(name(1));
+    public void killedInstanceIsDeclaredDeadAndRejoinsWithHigherIncarnation() throws Exception {
+        MemberInfo before = queryMembers(0).get(name(1));
         instances[1].kill();
-        untilAllHold(1, State.DEAD);
+        awaitStateSeenByAll(1, State.DEAD);
         instances[1] = start(1, ports[1]);
-        untilAllHold(1, State.ALIVE);
+        awaitStateSeenByAll(1, State.ALIVE);
         for (int i = 0; i < SIZE; i++) {
-            until(i, held -> held.get(name(1)).compareTo(before) > 0 && !held.get(name(1)).isSameProcess(before));
+            await(i, members -> members.get(name(1)).compareTo(before) > 0 && !members.get(name(1))
+                    .isSameProcess(before));
         }
     }
 
     /** Its answers come late and not from another: it is told, speaks up, and holds nobody dead for its own sleep. */
-    public void oneThatStoodStillSpeaksUpAndBlamesNobody() throws Exception {
+    public void pausedInstanceRefutesItsDeathAndDeclaresNobodyDead() throws Exception {
         instances[2].signal("STOP");
-        untilAllHold(2, State.DEAD, 2);
+        awaitStateSeenByAll(2, State.DEAD, 2);
         instances[2].signal("CONT");
-        untilAllHold(2, State.ALIVE);
-        until(0, held -> held.get(name(2)).refutations() > 0 && held.get(name(2)).incarnation() == 1);
+        awaitStateSeenByAll(2, State.ALIVE);
+        await(0, members -> members.get(name(2)).refutations() > 0 && members.get(name(2)).incarnation() == 1);
         assertFalse(instances[2].logText().contains("is DEAD"), instances[2].logText());
     }
 
     /** Two that don't hear each other are heard by the others, whatever one of them makes of it. */
-    public void aWayThatIsCutBetweenTwoOnlyMakesNobodyDead() throws Exception {
-        for (int[] way : new int[][] {{0, 1}, {1, 0}}) {
-            ways[way[0]][way[1]].swallowsThere = true;
-            ways[way[0]][way[1]].swallowsBack = true;
+    public void cutLinkBetweenTwoInstancesMakesNobodyDead() throws Exception {
+        for (int[] pair : new int[][] {{0, 1}, {1, 0}}) {
+            links[pair[0]][pair[1]].dropsToTarget = true;
+            links[pair[0]][pair[1]].dropsFromTarget = true;
         }
         Thread.sleep(6_000);
         for (int i = 0; i < SIZE; i++) {
             assertFalse(instances[i].logText().contains("is DEAD"), instances[i].logText());
-            until(i, held -> held.values().stream().allMatch(each -> each.state() == State.ALIVE));
+            await(i, members -> members.values().stream().allMatch(each -> each.state() == State.ALIVE));
         }
     }
 
-    public void twoPartsThatWereCutApartFindEachOtherAgain() throws Exception {
-        part(true);
-        untilAllHold(4, State.DEAD, 3, 4);
-        until(4, held -> held.get(name(0)).state() == State.DEAD && held.get(name(3)).state() == State.ALIVE);
-        part(false);
+    public void partitionedHalvesMergeAfterHealing() throws Exception {
+        setPartitioned(true);
+        awaitStateSeenByAll(4, State.DEAD, 3, 4);
+        await(4, members -> members.get(name(0)).state() == State.DEAD && members.get(name(3)).state() == State.ALIVE);
+        setPartitioned(false);
         for (int i = 0; i < SIZE; i++) {
-            until(i, held -> held.values().stream().allMatch(each -> each.state() == State.ALIVE));
+            await(i, members -> members.values().stream().allMatch(each -> each.state() == State.ALIVE));
         }
     }
 
-    private void part(boolean is) {
+    private void setPartitioned(boolean partitioned) {
         for (int i = 0; i < 3; i++) {
             for (int j = 3; j < SIZE; j++) {
-                for (Between way : List.of(ways[i][j], ways[j][i])) {
-                    way.swallowsThere = is;
-                    way.swallowsBack = is;
+                for (LinkProxy link : List.of(links[i][j], links[j][i])) {
+                    link.dropsToTarget = partitioned;
+                    link.dropsFromTarget = partitioned;
                 }
             }
         }
     }
 
     /** The one that had the name goes in its order; whoever comes later has it. */
-    public void aSecondProcessUnderANameTakesItFromTheFirst() throws Exception {
-        MemberInfo before = held(0).get(name(3));
-        ports[3] = Ports.free();
+    public void laterProcessWithSameNameReplacesTheFirst() throws Exception {
+        MemberInfo before = queryMembers(0).get(name(3));
+        ports[3] = Ports.findFree();
         InstanceRig second = start(3, ports[3]);
         for (int i = 0; i < SIZE; i++) {
             if (i != 3) {
-                ways[i][3].leadsTo(new InetSocketAddress(InetAddress.getLoopbackAddress(), ports[3]));
+                links[i][3].redirectTo(new InetSocketAddress(InetAddress.getLoopbackAddress(), ports[3]));
             }
         }
         assertEquals(instances[3].awaitExit(), 0, instances[3].logText());
         assertTrue(instances[3].logText().contains("another process has the name r3"), instances[3].logText());
         assertTrue(second.isAlive());
         assertFalse(second.logText().contains("another process has the name"), second.logText());
-        until(0, held -> held.get(name(3)).compareTo(before) > 0 && !held.get(name(3)).isSameProcess(before));
+        await(0, members -> members.get(name(3)).compareTo(before) > 0 && !members.get(name(3)).isSameProcess(before));
     }
 }
--- a/lab/src/test/java/vetchrill/planner/JsonReportFormatTest.java
+++ b/lab/src/test/java/vetchrill/planner/JsonReportFormatTest.java
@@ -15,19 +15,19 @@
     private static final Path EXPECTED = Path.of("src/test/resources/formats/plan-report.json");
 
     public void jsonOfReportsEqualsTheStoredText() throws IOException {
-        Answer limits = new Answer("Limits of \"fleet\" <é>");
-        limits.remark("first remark, with a \"quotation\" and a \\");
-        limits.remark("second remark");
-        limits.remark("first remark, with a \"quotation\" and a \\");
-        Answer.Table table = limits.table("Limits", "limit", "now", "from", "to", "count", "large", "flag");
-        table.row("cores of the fleet", 1.52, Double.NaN, Double.POSITIVE_INFINITY, 3, 5_000_000_000L, true);
-        table.row("", -0.5, Double.NEGATIVE_INFINITY, 1e-9, -1, 0L, false);
-        limits.table("Without rows", "a", "b");
-        limits.chart("Chart, which JSON leaves out", "x", "y");
-        Answer size = new Answer("Size");
-        size.holds = false;
-        assertEquals(Showing.json(List.of(limits, size)),
+        Report firstReport = new Report("Limits of \"fleet\" <é>");
+        firstReport.addRemark("first remark, with a \"quotation\" and a \\");
+        firstReport.addRemark("second remark");
+        firstReport.addRemark("first remark, with a \"quotation\" and a \\");
+        Report.Table table = firstReport.addTable("Limits", "limit", "now", "from", "to", "count", "large", "flag");
+        table.addRow("cores of the fleet", 1.52, Double.NaN, Double.POSITIVE_INFINITY, 3, 5_000_000_000L, true);
+        table.addRow("", -0.5, Double.NEGATIVE_INFINITY, 1e-9, -1, 0L, false);
+        firstReport.addTable("Without rows", "a", "b");
+        firstReport.addChart("Chart, which JSON leaves out", "x", "y");
+        Report secondReport = new Report("Size");
+        secondReport.goalMet = false;
+        assertEquals(ReportRenderer.toJson(List.of(firstReport, secondReport)),
                 Files.readString(EXPECTED, StandardCharsets.UTF_8));
-        assertEquals(Showing.json(List.of()), "[ ]\n");
+        assertEquals(ReportRenderer.toJson(List.of()), "[ ]\n");
     }
 }
--- a/lab/src/test/java/vetchrill/program/ConcurrentEventsTest.java
+++ b/lab/src/test/java/vetchrill/program/ConcurrentEventsTest.java
@@ -126,7 +126,7 @@
     /** The service sends its response byte by byte: no single read times out, but the whole response takes too long. */
     public void slowResponseToAHealthReportDelaysNoOtherReport() throws Exception {
         try (InstanceRig rig = new InstanceRig()) {
-            rig.membership.fake.slowly = 200;
+            rig.membership.fake.byteDelayMs = 200;
             rig.startHealthy();
             long startNanos = System.nanoTime();
             rig.terminate();
--- a/lab/src/test/java/vetchrill/tool/PlannedAgainstMeasuredTest.java
+++ b/lab/src/test/java/vetchrill/tool/PlannedAgainstMeasuredTest.java
@@ -8,58 +8,60 @@
 import org.testng.annotations.Test;
 import vetchrill.capture.Capture;
 import vetchrill.fleet.Fleet;
-import vetchrill.fleet.FleetFile;
-import vetchrill.fleet.Trouble;
-import vetchrill.planner.Fit;
-import vetchrill.planner.Spread;
-import vetchrill.planner.Sweep;
+import vetchrill.fleet.FleetFileReader;
+import vetchrill.fleet.Fault;
+import vetchrill.planner.FittedModel;
+import vetchrill.planner.ConfidenceInterval;
+import vetchrill.planner.SimulationRunner;
 
 /** A run of the proof at 110% of capacity, kept: what its stubs counted, against what a plan makes of its captures. */
 @Test
 public class PlannedAgainstMeasuredTest {
-    private static final double SERVICE = 0.866;
+    private static final double MEASURED_SERVICE = 0.866;
     private static final double WORK_MS = 40;
     private static final double READING_MS = 12;
 
     private static Fleet fleet() {
-        return FleetFile.read(Path.of("../examples/rig.hcl"));
+        return FleetFileReader.read(Path.of("../examples/rig.hcl"));
     }
 
-    private static Fit fit() {
-        return new Fit(ProveCommand.without(fleet()), Capture.readAll(Path.of("src/test/resources/captures/full")));
+    private static FittedModel fitModel() {
+        return new FittedModel(ProveCommand.withoutFittedValues(fleet()),
+                Capture.readAll(Path.of("src/test/resources/captures/full")));
     }
 
-    public void thePlanIsWithinFivePointsOfWhatClientsCounted() {
-        Fit fit = fit();
-        try (Sweep sweep = new Sweep(4, 6, 180_000, 50_000, () -> { })) {
-            Spread planned = sweep.service(sweep.runs(fit.fleet, fit.replay()));
-            assertEquals(planned.mean(), SERVICE, 0.05);
+    public void plannedServiceIsWithinFivePointsOfMeasured() {
+        FittedModel model = fitModel();
+        try (SimulationRunner runner = new SimulationRunner(4, 6, 180_000, 50_000, () -> { })) {
+            ConfidenceInterval planned = runner.meanService(runner.simulate(model.fleet, model.replay()));
+            assertEquals(planned.mean(), MEASURED_SERVICE, 0.05);
         }
     }
 
-    public void worksAndReadingsAreThoseThatTheStandInWasGiven() {
-        Fit fit = fit();
-        assertEquals(fit.fleet.groups.get(0).work() / 10, WORK_MS, 0.1 * WORK_MS);
-        assertEquals(fit.fleet.kinds.get(0).reading() / 10, READING_MS, 0.15 * READING_MS);
-        assertEquals(fit.fleet.groups.get(0).share(), 0.68, 0.04);
+    public void fittedWorkAndReadingMatchTheRig() {
+        FittedModel model = fitModel();
+        assertEquals(model.fleet.groups.get(0).coreTime() / 10, WORK_MS, 0.1 * WORK_MS);
+        assertEquals(model.fleet.kinds.get(0).readingTime() / 10, READING_MS, 0.15 * READING_MS);
+        assertEquals(model.fleet.groups.get(0).requestShare(), 0.68, 0.04);
     }
 
     /** What a plan may not say of the capture it was made from: that a load half as high is late. */
-    public void aPlanForAnotherLoadIsMadeFromTheSameCapture() {
-        Fit fit = fit();
-        try (Sweep sweep = new Sweep(4, 3, 180_000, 50_000, () -> { })) {
-            assertTrue(sweep.service(sweep.runs(fit.fleet, fit.times(0.6))).mean() > 0.99);
-            assertTrue(sweep.service(sweep.runs(fit.fleet.withTroubles(List.of(new Trouble.Burst(0, 180_000, 2))),
-                    fit.demand)).mean() < 0.6);
+    public void planForAnotherLoadUsesTheSameCapture() {
+        FittedModel model = fitModel();
+        try (SimulationRunner runner = new SimulationRunner(4, 3, 180_000, 50_000, () -> { })) {
+            assertTrue(runner.meanService(runner.simulate(model.fleet, model.scaledBy(0.6))).mean() > 0.99);
+            assertTrue(runner.meanService(runner.simulate(model.fleet.withFaults(List.of(new Fault.Burst(0, 180_000,
+                    2))),
+                    model.demand)).mean() < 0.6);
         }
     }
 
-    public void capturesOfAZoneThatTheFleetHasNotAreRefused() {
+    public void capturesOfUnknownZoneAreRejected() {
         Fleet fleet = fleet();
         Fleet other = fleet.withZones(fleet.zones.subList(0, 2));
         try {
-            new Fit(other, Capture.readAll(Path.of("src/test/resources/captures/full")));
-        } catch (vetchrill.capture.CaptureFault e) {
+            new FittedModel(other, Capture.readAll(Path.of("src/test/resources/captures/full")));
+        } catch (vetchrill.capture.CaptureException e) {
             assertTrue(e.getMessage().endsWith("is of zone 'isafjordur', which the fleet file has not"),
                     e.getMessage());
             return;
--- a/lab/src/test/java/vetchrill/transport/ListenerTest.java
+++ b/lab/src/test/java/vetchrill/transport/ListenerTest.java
@@ -22,7 +22,7 @@
      * request. Closing the socket at once would reset them.
      */
     public void acceptsBacklogBeforeClosing() throws Exception {
-        InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), Ports.free());
+        InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), Ports.findFree());
         LinkedBlockingQueue<DuplexChannel> accepted = new LinkedBlockingQueue<>();
         CountDownLatch allowAccept = new CountDownLatch(1);
         Listener listener = new Listener(address, new Limits(64 << 20, 64), channel -> {
