--- a/fuzz/src/main/java/vetchrill/fuzz/chain/ChainSimulation.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/chain/ChainSimulation.java
@@ -28,21 +28,28 @@
 import vetchrill.transport.DuplexChannel;
 
 /**
- * The whole chain of one instance on one thread, a clock that is only counted and streams in memory. The production
- * code runs as it is: this gives its jobs their steps, its decision thread its turns and its link its tries, in an
- * order and at times that a seed draws; and plays all that it speaks to, by a script.
+ * A deterministic simulation of the whole processing chain of one instance, on one thread, with a virtual clock and
+ * in-memory channels. The production code runs unchanged. The simulation schedules its reader and writer tasks, the
+ * turns of its decision thread and the connection attempts of its interpreter link, in an order and at times that
+ * depend on a seed, and it plays the client stubs, the interpreter and the membership service as a script orders.
  */
 public final class ChainSimulation {
     static final String[] GROUP_NAMES = {"look", "note", "pay"};
+    /** By group: the time from sending an exchange within which it must be answered. */
     static final long[] ANSWER_TIMEOUTS_TENTHS_MS = {10_000, 16_000, 16_000};
     private static final long DRAIN_DURATION_TENTHS_MS = 30_000;
     private static final long DRAIN_GRACE_TENTHS_MS = 10_000;
     private static final long EPOCH_TENTHS_MS = 17_645_760_000_000L;
+    /** Time that the simulation runs without faults before it checks that everything was answered. */
     private static final long QUIESCENCE_TENTHS_MS = 60_000;
     private static final long MIN_CLOCK_STEP_INTERVAL_TENTHS_MS = 2_000;
+    /** Exchanges sent at the end of a script until one is completed; if none is, the instance has stopped serving. */
     private static final int MAX_SERVICE_PROBES = 40;
+    /** A script may retry an exchange for this long after it was sent. */
     private static final long RETRY_WINDOW_TENTHS_MS = 30_000;
+    /** The keyTtlMs of the settings below: for this long a retry must not cause a second run. */
     static final long DEDUP_WINDOW_TENTHS_MS = 20_000;
+    /** More events than this mean that the chain is in an endless loop. */
     private static final int MAX_EVENTS = 400_000;
     private static final String SETTINGS = "{\"categories\":["
             + "{\"name\":\"look\",\"effect\":\"free\",\"aimMs\":400,\"deadlineMs\":1000,\"gain\":1},"
@@ -74,7 +81,7 @@
     private long stopAt = -1;
     boolean finished;
     private long lastId;
-    /** Tells what repeats an id apart by its body: two that were alike could not be. */
+    /** Makes the bodies of exchanges with a reused id differ, since the oracle tells these apart by their bodies. */
     private int duplicateCount;
     private int processedEvents;
     boolean linkOpen;
@@ -83,7 +90,9 @@
         this(seed, false);
     }
 
-    /** {@code plain}: nothing takes any time and nothing comes in pieces, so that only the order of things is left. */
+    /**
+     * @param instantaneous whether nothing takes time and no message is split, so that only the order of events matters
+     */
     ChainSimulation(long seed, boolean instantaneous) {
         this.instantaneous = instantaneous;
         random = new SplittableRandom(seed);
@@ -95,14 +104,14 @@
             @Override
             public int report(boolean up) throws IOException {
                 if (failingReportsLeft > 0 && failingReportsLeft-- % 2 == 0) {
-                    throw new IOException("no answer");
+                    throw new IOException("no response");
                 }
                 return failingReportsLeft > 0 ? 503 : 204;
             }
 
             @Override
             public void moveTo(InetSocketAddress to) {
-                // Whoever is reported to is the same here.
+                // The simulated membership service is the same at every address.
             }
         };
         chain = new ProcessingChain(new DeploymentReader(SETTINGS), 7, clock, decisionThread, reports, limits, null,
@@ -117,7 +126,7 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
-    // Time and order.
+    // Virtual time and scheduling.
 
     long now() {
         return eventQueue.now();
@@ -136,7 +145,7 @@
         return random.nextInt(bound);
     }
 
-    /** Mostly next to nothing, at times as long as a bad link takes. */
+    /** A random delay: mostly zero, rarely up to 30 ms as on a bad network. */
     long randomDelay() {
         if (instantaneous) {
             return 0;
@@ -154,7 +163,7 @@
                 + random.nextInt(available) : available;
     }
 
-    /** Bytes on their way, in pieces of any size, each in its time and in their order. */
+    /** One direction of a connection: delivers bytes in order, in pieces of random size and with random delays. */
     final class DelayedStream {
         private long lastArrivalAt;
 
@@ -167,14 +176,14 @@
             }
         }
 
-        /** Behind all that is on its way. */
+        /** Runs an action after all bytes sent so far have been delivered. */
         void runAfterPending(Runnable action) {
             lastArrivalAt = Math.max(lastArrivalAt, now() + randomDelay());
             schedule(lastArrivalAt, action);
         }
     }
 
-    /** Lets time go on to {@code time}, and all that is due by then happen. */
+    /** Advances the virtual clock to {@code time} and runs all events that are due by then. */
     void runUntil(long time) {
         boolean[] reached = {false};
         schedule(time, () -> reached[0] = true);
@@ -183,7 +192,7 @@
             Event event = eventQueue.poll();
             event.execute(eventQueue.now());
             if (++processedEvents > MAX_EVENTS) {
-                throw new InvariantViolation("the chain does more and more and never comes to rest");
+                throw new InvariantViolation("the chain is in an endless loop and never becomes idle");
             }
         }
     }
@@ -204,9 +213,9 @@
         }
     }
 
-    // What the chain asks for.
+    // Services that the chain needs.
 
-    /** A reader, which has a step whenever there is something to read, until it has had its last. */
+    /** Starts a reader task, which gets a step whenever there is something to read, until it ends. */
     private void startReader(IoTask task) {
         SimChannel pipe = (SimChannel) task.channel();
         pipe.reader = task;
@@ -214,7 +223,7 @@
         scheduleRead(pipe);
     }
 
-    /** Something can be read from a pipe. */
+    /** Schedules a step of the reader of a channel that has become readable. */
     void scheduleRead(SimChannel pipe) {
         if (pipe.reader != null) {
             schedule(now() + randomDelay() / 4, () -> runReader(pipe));
@@ -235,7 +244,7 @@
         }
     }
 
-    /** A writer, which has its steps one after the other, unless its peer takes nothing for a while. */
+    /** Starts a writer task, which gets its steps one after the other, with a pause while the peer does not read. */
     private void startWriter(IoTask task) {
         schedule(now() + randomDelay() / 4, () -> runWriter(task));
     }
@@ -254,12 +263,14 @@
 
     private DuplexChannel openLink(InetSocketAddress address, long timeout) throws IOException {
         if (now() < connectRefusedUntil) {
-            throw new IOException("refused");
+            throw new IOException("connection refused");
         }
         return interpreter.openLink().channel;
     }
 
-    /** As the link's own thread does it: a pause, a try, and again when what was opened is over. */
+    /**
+     * Does what the link's own thread does: pause, attempt to connect, and start again when the connection has ended.
+     */
     private void maintainLink() {
         schedule(now() + link.nextRetryPause(), () -> {
             if (finished) {
@@ -294,9 +305,9 @@
         }
     }
 
-    // The script.
+    // The steps of a script.
 
-    /** Plays a script to its end, and lets everything come to rest. */
+    /** Plays a script to its end, then lets the chain become idle and checks the final state. */
     void play(FuzzedDataProvider script) {
         runUntil(500);
         while (!script.isExhausted() && !finished) {
@@ -346,7 +357,7 @@
                 }
             }
             case 22 -> {
-                // Nothing could tell by which clock something was stamped if that one had lasted for no time at all.
+                // With steps closer together, the oracle could not tell which clock setting a time stamp came from.
                 if (now() >= lastClockStepAt + MIN_CLOCK_STEP_INTERVAL_TENTHS_MS) {
                     lastClockStepAt = now();
                     wallClockOffset += (c - 128L) * 200;
@@ -408,7 +419,7 @@
         return sendExchange(stub, kind % GROUP_NAMES.length, body, null);
     }
 
-    /** {@code again} is the first of its tries; null for one that is new. */
+    /** Sends an exchange; {@code firstAttempt} is null unless it is a retry of that one. */
     private ExchangeOracle.TrackedExchange sendExchange(SimStub stub, int group, byte[] body,
             ExchangeOracle.TrackedExchange firstAttempt) {
         ExchangeOracle.TrackedExchange ex = new ExchangeOracle.TrackedExchange(String.format("%016x", ++lastId), group,
@@ -428,7 +439,7 @@
                 "24.5", "prio", "0.5", "token", ex.token));
     }
 
-    /** A further try of an exchange that was sent of late, mostly while it is open. */
+    /** Sends a retry of a deduplicated exchange that was sent recently, mostly while that one is still open. */
     private void sendRetry(SimStub stub, int b) {
         List<ExchangeOracle.TrackedExchange> retryable = oracle.exchanges.stream()
                 .filter(ex -> ex.deduplicated() && !ex.invalid && ex.sentAt > now() - RETRY_WINDOW_TENTHS_MS)
@@ -448,7 +459,10 @@
         }
     }
 
-    /** What no stub sends: from now on its connection may be closed, once what it has open is answered. */
+    /**
+     * Sends bytes that violate the protocol: from now on the instance may close the connection, but not before the
+     * exchanges open on it are answered.
+     */
     private void sendInvalidFrame(SimStub stub, byte[] bytes) {
         stub.sentInvalid = true;
         if (!stub.disconnected) {
@@ -456,7 +470,7 @@
         }
     }
 
-    /** The id of an open exchange again, on another connection and with another body. */
+    /** Sends another exchange with the id of an open one, on another connection and with another body. */
     private void sendDuplicateId(SimStub stub, int b) {
         List<ExchangeOracle.TrackedExchange> open = oracle.exchanges.stream()
                 .filter(ex -> ex.answerCount == 0 && !ex.exempt && !ex.invalid
@@ -480,7 +494,7 @@
         closeOnceAnswered(stub);
     }
 
-    /** A stub closes a connection on which nothing new is taken once all on it is answered. */
+    /** After a go-away frame, a stub closes its connection as soon as all exchanges on it are answered. */
     private void closeOnceAnswered(SimStub stub) {
         if (stub.disconnected || finished) {
             return;
@@ -512,7 +526,10 @@
         }
     }
 
-    /** Nothing more goes wrong: every exchange is answered, nothing is kept, and a new one is served. */
+    /**
+     * Ends all faults and checks that every exchange gets an answer, that nothing stays open or in memory, and that a
+     * new exchange is served.
+     */
     void settle() {
         connectRefusedUntil = 0;
         interpreter.manualCompletion = false;
@@ -544,20 +561,20 @@
         }
         runUntil(now() + 20_000);
         if (ProcessingChainState.openExchangeCount(chain) != 0) {
-            throw new InvariantViolation("an exchange is kept for good");
+            throw new InvariantViolation("an exchange is never released");
         }
         if (ProcessingChainState.bodyBytes(chain) != 0) {
-            throw new InvariantViolation("bytes of bodies are kept for good");
+            throw new InvariantViolation("bytes of request bodies are never released");
         }
         if (ProcessingChainState.connectionCount(chain) != 0) {
-            throw new InvariantViolation("a connection is kept for good");
+            throw new InvariantViolation("a connection is never released");
         }
         if (stubs.stream().anyMatch(stub -> !stub.channel.closed && stub.channel.accepted)) {
-            throw new InvariantViolation("a socket is kept for good");
+            throw new InvariantViolation("a socket is never closed");
         }
     }
 
-    /** A denial now and then is the module's right; no service at all, with nothing wrong any more, is not. */
+    /** The decision module may reject some exchanges, but without any fault it must complete one at last. */
     private void checkServed() {
         for (int i = 0; i < MAX_SERVICE_PROBES; i++) {
             ExchangeOracle.TrackedExchange probe = sendExchange(stubAt(4 + i), 0, 5);
@@ -566,6 +583,6 @@
                 return;
             }
         }
-        throw new InvariantViolation("nothing is served any more");
+        throw new InvariantViolation("no exchange is served after all faults have ended");
     }
 }
--- a/fuzz/src/main/java/vetchrill/fuzz/chain/ChainTarget.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/chain/ChainTarget.java
@@ -8,7 +8,7 @@
 import vetchrill.fuzz.Target;
 import vetchrill.routing.ProcessingChain;
 
-/** The whole chain by a script: eight octets of seed, then steps of four octets. */
+/** The whole processing chain of an instance in simulation. An input has an 8-byte seed, then steps of 4 bytes each. */
 public final class ChainTarget implements Target {
     private static final int SEED_BYTES = 8;
     private static final int STEP_BYTES = 4;
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public byte[] mutate(byte[] input, SplittableRandom chance) {
-        return SCRIPT_FORMAT.mutate(input, chance);
+    public byte[] mutate(byte[] input, SplittableRandom random) {
+        return SCRIPT_FORMAT.mutate(input, random);
     }
 }
--- a/fuzz/src/main/java/vetchrill/fuzz/chain/ExchangeOracle.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/chain/ExchangeOracle.java
@@ -7,16 +7,25 @@
 import java.util.Map;
 import vetchrill.fuzz.InvariantViolation;
 
-/** What every exchange is owed and what became of it, by the rules as the operators wrote them. */
+/**
+ * Checks the rules that the operators have stated for exchanges, such as one answer each, in time, and at most one run
+ * of a mutating exchange. It knows only what the stubs and the interpreter have sent and received.
+ */
 final class ExchangeOracle {
-    /** What is taken in just as its connection is closed may be sent again elsewhere by its stub. */
+    /**
+     * An exchange read this shortly before its connection is closed may stay unanswered: its stub may send it again on
+     * another connection.
+     */
     private static final long CLOSE_RACE_TENTHS_MS = 1_500;
-    /** Times on sockets are 50 ms longer; the simulated ways take their time as well. */
+    /**
+     * Socket timeouts are 50 ms longer than the timeouts of exchanges, and the simulated network adds delays as well.
+     */
     private static final long DEADLINE_SLACK_TENTHS_MS = 500 + 1_200;
 
-    /** What a writer takes to write what it was given, unless its peer is stalled. */
+    /** Time within which a writer has written its output, unless the peer does not read. */
     static final long WRITE_DELAY_TENTHS_MS = 100;
 
+    /** An exchange as its stub sent it, and what has become of it. */
     static final class TrackedExchange {
         final String id;
         final int group;
@@ -25,27 +34,27 @@
         final int stream;
         final long sentAt;
         final long timeout;
-        /** What its tries have in common. */
+        /** Idempotency token, which all attempts have in common. */
         String token;
-        /** Where its last byte stands in what its stub has sent. */
+        /** Number of bytes that its stub had sent on the connection up to its last byte. */
         long endOffset;
         long consumedAt = -1;
-        /** By the page no exchange: it is owed an error or a close, and no result. */
+        /** Not a valid exchange by the protocol: it must get an error or a closed connection, and no result. */
         boolean invalid;
-        /** It has the id of another that was open as it was sent. */
+        /** The exchange with the same id that was open when this one was sent, or null. */
         TrackedExchange duplicateOf;
-        /** When another with its id was run though no answer of this one had been heard; -1 for never. */
+        /** When another exchange with this id was run although this one had no answer yet; -1 for never. */
         long idReusedAt = -1;
         int answerCount;
         int answerCode;
         long answeredAt = -1;
         int runCount;
-        /** When it was run first. */
+        /** When its first run started. */
         long firstRunAt;
         boolean runEnded;
-        /** Its stub took its connection away, or can't read. */
+        /** Needs no answer any more: its connection is closed, or its stub does not read. */
         boolean exempt;
-        /** Its stub sent what no stub sends before it on the same connection. */
+        /** Its stub had violated the protocol on the same connection before. */
         boolean afterInvalidFrame;
 
         TrackedExchange(String id, int group, byte[] body, SimStub stub, int stream, long sentAt, long timeout) {
@@ -78,16 +87,16 @@
         byId.computeIfAbsent(ex.id, key -> new ArrayList<>(1)).add(ex);
     }
 
-    /** A run is asked for, with this body; for which exchange. */
+    /** The interpreter was asked for a run with this body; returns the exchange that it belongs to. */
     TrackedExchange onRunRequested(String id, String groupName, byte[] body, long now) {
         List<TrackedExchange> candidates = byId.get(id);
         if (candidates == null) {
-            throw new InvariantViolation("a run is asked for that nobody asked for");
+            throw new InvariantViolation("a run is requested for an unknown exchange");
         }
         for (TrackedExchange ex : candidates) {
             if (ex.duplicateOf != null && java.util.Arrays.equals(body, ex.body)) {
-                // Its id was free again by the time it was decided on: it is one like any other. If it was not, the
-                // answer of the first is still to be given, and is heard later than any that is on its way now.
+                // Its id was free again when it was admitted, so that it counts as a valid exchange. If the id was not
+                // free, the original still gets its answer, later than any answer that is being delivered now.
                 ex.invalid = false;
                 if (ex.duplicateOf.answerCount == 0 && ex.duplicateOf.idReusedAt < 0) {
                     ex.duplicateOf.idReusedAt = now;
@@ -97,10 +106,10 @@
                 return ex;
             }
         }
-        throw new InvariantViolation("a run is asked for with another body or group");
+        throw new InvariantViolation("a run is requested with another body or group");
     }
 
-    /** A run begins. */
+    /** A run has started at the interpreter. */
     void onRunStarted(TrackedExchange ex, long now) {
         if (ex.runCount++ > 0 && ex.mutating()) {
             throw new InvariantViolation("a mutating exchange runs twice");
@@ -111,14 +120,14 @@
             throw new InvariantViolation("a deduplicated exchange runs twice");
         }
         if (ex.answerCount > 0 && ex.answerCode == 66) {
-            throw new InvariantViolation("an exchange is run that was denied");
+            throw new InvariantViolation("a rejected exchange is run");
         }
         if (drainStartedAt >= 0 && ex.sentAt > drainStartedAt + drainGrace + DEADLINE_SLACK_TENTHS_MS) {
-            throw new InvariantViolation("an exchange is run that arrived past the grace");
+            throw new InvariantViolation("an exchange that arrived after the drain grace period is run");
         }
     }
 
-    /** All tries of a deduplicated exchange; none of another. */
+    /** All attempts of a deduplicated exchange; empty for other groups. */
     private List<TrackedExchange> attempts(TrackedExchange ex) {
         return !ex.deduplicated() ? List.of()
                 : exchanges.stream().filter(each -> each.deduplicated() && each.token.equals(ex.token)).toList();
@@ -141,27 +150,27 @@
         }
         if (ex.idReusedAt >= 0 && !ex.exempt && now > Math.max(ex.idReusedAt, ex.stub.channel.writesStalledUntil)
                 + WRITE_DELAY_TENTHS_MS) {
-            throw new InvariantViolation("the id of an open exchange is run with another body");
+            throw new InvariantViolation("another body is run under the id of an open exchange");
         }
         ex.answerCode = code;
         ex.answeredAt = now;
         if (code == 66 && ex.runCount > 0 && ex.mutating()) {
-            throw new InvariantViolation("an exchange is denied that has run");
+            throw new InvariantViolation("an exchange that has run is rejected");
         }
         if (code == 66 && attempts(ex).stream().anyMatch(each -> each.runCount > 0 && each.firstRunAt < ex.sentAt
                 && ex.sentAt <= each.sentAt + ChainSimulation.DEDUP_WINDOW_TENTHS_MS)) {
-            throw new InvariantViolation("an exchange is denied of which an earlier try has run");
+            throw new InvariantViolation("an exchange is rejected although an earlier attempt has run");
         }
         if (code == 79) {
             if (ex.invalid) {
-                throw new InvariantViolation("what is no exchange is completed");
+                throw new InvariantViolation("an invalid exchange is completed");
             }
             boolean ownResult = isResultOf(ex, body);
             for (TrackedExchange each : attempts(ex)) {
                 ownResult |= isResultOf(each, body);
             }
             if (!ownResult) {
-                throw new InvariantViolation("a result goes to an exchange that it is not of");
+                throw new InvariantViolation("an exchange gets the result of another one");
             }
         }
     }
@@ -175,36 +184,36 @@
         return found;
     }
 
-    /** A connection was closed by the instance. */
+    /** The instance has closed a connection. */
     void onConnectionClosed(SimStub stub, long now) {
         for (TrackedExchange ex : exchanges) {
             if (ex.stub == stub && ex.answerCount == 0 && !ex.exempt) {
                 boolean inCloseRace = ex.consumedAt < 0 || now - ex.consumedAt <= CLOSE_RACE_TENTHS_MS;
                 if (!inCloseRace && !ex.invalid && !ex.afterInvalidFrame) {
-                    throw new InvariantViolation("a connection is closed on an exchange without an answer");
+                    throw new InvariantViolation("a connection is closed while an exchange on it has no answer");
                 }
                 ex.exempt = true;
             }
         }
     }
 
-    /** What is past its time by now without an answer. */
+    /** Checks that no exchange is past its deadline without an answer. */
     void checkDeadlines(long now) {
         for (TrackedExchange ex : exchanges) {
             if (ex.consumedAt >= 0 && ex.answerCount == 0 && !ex.exempt && !ex.invalid && !ex.afterInvalidFrame
                     && now > Math.max(ex.sentAt + ex.timeout, ex.consumedAt + 3_000) + DEADLINE_SLACK_TENTHS_MS) {
-                throw new InvariantViolation("an exchange has no answer in its time");
+                throw new InvariantViolation("an exchange has no answer by its deadline");
             }
         }
     }
 
-    /** At the end of a drain, or of a run that has come to rest. */
+    /** Checks at the end of a drain, or once the chain is idle, that every exchange has an answer. */
     void checkAllAnswered(boolean drained, long stopAt) {
         for (TrackedExchange ex : exchanges) {
             boolean readJustBeforeStop = drained && ex.consumedAt > stopAt - 900;
             if (ex.consumedAt >= 0 && ex.answerCount == 0 && !ex.exempt && !ex.invalid && !ex.afterInvalidFrame
                     && !readJustBeforeStop) {
-                throw new InvariantViolation(drained ? "an exchange has no answer at the stop"
+                throw new InvariantViolation(drained ? "an exchange has no answer at the end of the drain"
                         : "an exchange is never answered");
             }
         }
--- a/fuzz/src/main/java/vetchrill/fuzz/chain/LifecycleWalk.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/chain/LifecycleWalk.java
@@ -6,11 +6,11 @@
 import vetchrill.peersim.VersionsPathExplorer;
 
 /**
- * The life of one mutating exchange in every order of what can happen to it, to a depth: each path is walked on the
- * real chain, and after each step what is seen of it is held against what may be.
+ * Exhaustive exploration of the lifecycle of one mutating exchange: plays every sequence of actions up to a given
+ * length on the real processing chain and checks the invariants after each action.
  */
 public final class LifecycleWalk {
-    /** What can happen. */
+    /** What can happen to the exchange or around it. */
     public enum Action { CUT_LINK, DROP_APPLY, TOGGLE_CONNECT_REFUSAL, TOGGLE_BANNER, TOGGLE_GAUGES, END_RUNS,
             TOGGLE_DUPLICATE_NOTICES, RESTART_INTERPRETER, PASS_DEADLINE, RESET_STUB, MOVE_INTERPRETER, START_DRAIN,
             PASS_TIME }
@@ -20,7 +20,7 @@
 
     private final Set<String> states = ConcurrentHashMap.newKeySet();
 
-    /** States that were seen, of link, run, answer and end. */
+    /** Number of distinct states seen, of link, run, answer and connection. */
     public int stateCount() {
         return states.size();
     }
@@ -29,7 +29,7 @@
         return Math.round(Math.pow(ACTIONS.length, depth));
     }
 
-    /** One path by its number; throws a Finding that names its steps. */
+    /** Plays the path with the given number; throws an InvariantViolation that names its actions. */
     public void walk(int depth, long number) {
         Action[] path = VersionsPathExplorer.path(ACTIONS, depth, number);
         try {
@@ -44,7 +44,7 @@
         simulation.runUntil(500);
         simulation.interpreter.manualCompletion = true;
         boolean connectRefused = false;
-        // The exchange comes after the first step, so that the state that it comes to differs as well.
+        // The exchange is sent after the first action, so that it arrives in different states as well.
         ExchangeOracle.TrackedExchange ex = null;
         for (int i = 0; i < path.length && !simulation.finished; i++) {
             switch (path[i]) {
@@ -92,10 +92,7 @@
         simulation.settle();
     }
 
-    /**
-     * A result that was told over a link that is settled has been passed on by now; nothing is answered out of
-     * nothing.
-     */
+    /** Records the state; checks that there is no result before a run has ended, and no second run. */
     private void checkState(ChainSimulation simulation, ExchangeOracle.TrackedExchange ex) {
         boolean link = simulation.linkOpen && simulation.interpreter.link() != null;
         states.add(link + " " + simulation.interpreter.bannerWithheld + simulation.interpreter.answersGauges + " "
@@ -103,7 +100,7 @@
                 + " " + ex.answerCount + "/" + ex.answerCode + " " + ex.stub.disconnected + " "
                 + (simulation.oracle.drainStartedAt >= 0));
         if (ex.answerCode == 79 && !ex.runEnded) {
-            throw new InvariantViolation("a result without the end of a run");
+            throw new InvariantViolation("an exchange is completed before a run has ended");
         }
         if (ex.runCount > 1) {
             throw new InvariantViolation("a mutating exchange runs twice");
--- a/fuzz/src/main/java/vetchrill/fuzz/chain/SimChannel.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/chain/SimChannel.java
@@ -5,33 +5,33 @@
 import vetchrill.transport.IoTask;
 import vetchrill.transport.DuplexChannel;
 
-/** One connection in memory. What its peer does to it is up to the peer; the chain sees what a socket would show. */
+/** An in-memory connection between the processing chain and a simulated peer; to the chain it behaves like a socket. */
 final class SimChannel implements DuplexChannel {
-    /** What the peer hears of the other side, at once; it passes it on in its own time. */
+    /** Notified at once of what the chain does on its side; the peer itself simulates delays. */
     interface Peer {
         void onWritten(byte[] bytes);
 
-        /** Nothing more comes; the peer may still send. */
+        /** The chain has shut down its output; the peer may still send. */
         void onOutputShutdown();
 
-        /** {@code unread}: over bytes that the chain had not read, which is a reset. */
+        /** {@code unread}: bytes were left unread, so that a socket would have sent a reset. */
         void onClosed(boolean unread);
     }
 
     final Peer peer;
-    /** Whoever reads this side; null once it has ended. */
+    /** The task that reads on the side of the chain; null once it has ended. */
     IoTask reader;
-    /** The chain has had it. */
+    /** Whether the chain has ever started to read it. */
     boolean accepted;
     private byte[] unread = new byte[0];
     private int position;
-    /** Bytes that the chain has read in all. */
+    /** Total of the bytes that the chain has read. */
     long bytesRead;
     private boolean inputEnded;
     private boolean reset;
     private boolean outputShutdown;
     boolean closed;
-    /** Its peer takes nothing until then. */
+    /** Until this time the peer does not read, and writers of the chain are blocked. */
     long writesStalledUntil;
 
     SimChannel(Peer peer) {
@@ -44,7 +44,7 @@
         return result;
     }
 
-    /** Bytes arrive from the peer. */
+    /** Delivers bytes from the peer to the chain. */
     void receive(byte[] bytes) {
         if (!closed && !inputEnded && !reset) {
             unread = concatenate(Arrays.copyOfRange(unread, position, unread.length), bytes);
@@ -56,7 +56,7 @@
         inputEnded = true;
     }
 
-    /** As a connection is torn down: what was not read yet is gone. */
+    /** Resets the connection: bytes not read yet are lost. */
     void reset() {
         reset = true;
         unread = new byte[0];
@@ -77,7 +77,7 @@
         }
         if (position == unread.length) {
             if (!inputEnded) {
-                throw new IllegalStateException("the rig steps a reader that has nothing to read");
+                throw new IllegalStateException("a reader was scheduled although there is nothing to read");
             }
             return -1;
         }
--- a/fuzz/src/main/java/vetchrill/fuzz/chain/SimInterpreter.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/chain/SimInterpreter.java
@@ -9,9 +9,11 @@
 import vetchrill.fuzz.InvariantViolation;
 
 /**
- * The interpreter of the simulated chain: it runs what it is asked for, tells of it, and may be cut off at any byte.
+ * The interpreter of the simulation: starts the requested runs and sends notices. Its link may break after any byte,
+ * and it keeps its notices to send them again when the instance has reconnected.
  */
 final class SimInterpreter {
+    /** A numbered message to the instance, kept for reconnects. */
     private record Notice(int number, byte[] bytes) {
     }
 
@@ -20,16 +22,16 @@
     private final Map<String, Integer> activeRuns = new HashMap<>();
     private Link link;
     private int lastNoticeNumber;
-    /** Counts its starts; what belongs to an earlier one never ends. */
+    /** Counts restarts; runs of an earlier incarnation never end. */
     private int incarnation;
     private boolean restarted;
     private long startedAt;
     boolean bannerWithheld;
     boolean answersGauges = true;
     boolean duplicatesNotices;
-    /** Runs end when they are told to. */
+    /** Whether runs end only on {@link #completeAll}. */
     boolean manualCompletion;
-    /** The next run that is asked for is lost, and the link with it. */
+    /** The next run request is lost, and the link breaks with it. */
     boolean dropsNextApply;
     int maxRunMs = 60;
     int failureOdds;
@@ -41,7 +43,7 @@
         startedAt = simulation.now() - 600_000;
     }
 
-    /** One link: commands come in pieces and take their time, and so do notices. */
+    /** One connection of the instance: commands and notices are delivered in pieces and with delays. */
     final class Link implements SimChannel.Peer {
         final SimChannel channel = new SimChannel(this);
         private byte[] received = new byte[0];
@@ -62,7 +64,7 @@
 
         @Override
         public void onOutputShutdown() {
-            // The chain closes its links at once.
+            // The chain closes links at once, never only their output.
         }
 
         @Override
@@ -71,7 +73,7 @@
             link = link == this ? null : link;
         }
 
-        /** Between any two bytes: what is on its way in either direction is lost. */
+        /** Breaks the link between any two bytes; bytes in flight in both directions are lost. */
         void disconnect() {
             disconnected = true;
             link = link == this ? null : link;
@@ -120,7 +122,7 @@
                         next += length + 2;
                         startRun(words[1], words[2], body);
                     }
-                    default -> throw new InvariantViolation("a command that the interpreter does not know");
+                    default -> throw new InvariantViolation("the interpreter gets an unknown command");
                 }
                 received = Arrays.copyOfRange(received, next, received.length);
             }
@@ -147,7 +149,7 @@
         }
         link = newLink;
         if (lastRead > lastNoticeNumber) {
-            // It has started anew, and takes its numbers up where the other side has got to.
+            // After a restart it continues with the number that the instance has read last.
             lastNoticeNumber = lastRead;
         }
         newLink.unansweredLastRead = lastRead;
@@ -199,7 +201,7 @@
             return;
         }
         if (ex.answerCount > 0 || ex.exempt) {
-            // Its request is over: nothing is started.
+            // The exchange is over: no run is started.
             sendValue(id, "gone", 0, new byte[0]);
             return;
         }
@@ -223,14 +225,14 @@
         }
     }
 
-    /** All that runs by hand ends now. */
+    /** Ends all runs that wait for it, see {@link #manualCompletion}. */
     void completeAll() {
         List<Runnable> due = List.copyOf(pendingCompletions);
         pendingCompletions.clear();
         due.forEach(Runnable::run);
     }
 
-    /** Its process dies and another comes up: what ran is gone, and nothing tells of it. */
+    /** Simulates a crash and restart of the interpreter: all runs and notices are lost without any message. */
     void restart() {
         incarnation++;
         activeRuns.clear();
--- a/fuzz/src/main/java/vetchrill/fuzz/chain/SimStub.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/chain/SimStub.java
@@ -11,7 +11,7 @@
 import vetchrill.fuzz.InvariantViolation;
 import vetchrill.standin.StubFrames;
 
-/** One connection of a client stub in the simulated chain: what it sends, and what it makes of what it hears. */
+/** One connection of a client stub in the simulation: sends frames, and checks the frames that it gets. */
 final class SimStub implements SimChannel.Peer {
     private final ChainSimulation simulation;
     private final ChainSimulation.DelayedStream toChain;
@@ -27,9 +27,9 @@
     boolean sentInvalid;
     boolean disconnected;
     boolean inputEnded;
-    /** It was told that nothing new is taken. */
+    /** Whether it has got a go-away frame: the instance accepts no new exchanges on this connection. */
     boolean goAwayReceived;
-    /** It stopped reading for so long that what it gets can be late. */
+    /** Whether it once did not read for so long that answers can be late. */
     boolean stalled;
 
     SimStub(ChainSimulation simulation) {
@@ -81,7 +81,7 @@
                     (received[0] & 0xff) << 24 | (received[1] & 0xff) << 16 | (received[2] & 0xff) << 8
                             | received[3] & 0xff;
             if (length < 5 || length > 8_192) {
-                throw new InvariantViolation("a frame that no stub can read is sent");
+                throw new InvariantViolation("a malformed frame is sent to a stub");
             }
             if (received.length < 4 + length) {
                 break;
@@ -91,7 +91,7 @@
             try {
                 onFrame(StubFrames.read(new DataInputStream(new ByteArrayInputStream(frameBytes))));
             } catch (IOException | IndexOutOfBoundsException e) {
-                throw new InvariantViolation("a frame that no stub can read is sent", e);
+                throw new InvariantViolation("a malformed frame is sent to a stub", e);
             }
         }
     }
@@ -105,9 +105,9 @@
                         simulation.oracle.onAnswer(ex, frame.code(), frame.body(), simulation.now());
                     }
                 } else if (!sentInvalid) {
-                    throw new InvariantViolation("an answer to nothing");
+                    throw new InvariantViolation("an answer on a stream without an exchange");
                 } else if (frame.code() == StubFrames.COMPLETED) {
-                    throw new InvariantViolation("what is no exchange is completed");
+                    throw new InvariantViolation("an invalid exchange is completed");
                 }
             }
             case 32 -> {
@@ -117,11 +117,11 @@
             }
             case StubFrames.GO_AWAY -> simulation.schedule(simulation.now() + simulation.randomDelay(),
                     () -> simulation.onGoAway(this));
-            default -> throw new InvariantViolation("a frame of a type that no stub knows");
+            default -> throw new InvariantViolation("a frame of an unknown type is sent to a stub");
         }
     }
 
-    /** A stub closes what was closed by the other side; a rude one holds on to it for good. */
+    /** A stub closes its side too, unless it has violated the protocol: then it keeps the connection open for good. */
     @Override
     public void onOutputShutdown() {
         if (!disconnected) {
@@ -136,7 +136,7 @@
     @Override
     public void onClosed(boolean unread) {
         if (unread && !stalled && simulation.now() - lastReceivedAt < ExchangeOracle.WRITE_DELAY_TENTHS_MS) {
-            throw new InvariantViolation("answers that were just written go with a reset");
+            throw new InvariantViolation("a reset discards answers that were just written");
         }
         if (!disconnected) {
             disconnected = true;
@@ -144,7 +144,7 @@
         }
     }
 
-    /** What the chain has read by now. */
+    /** Records which exchanges the chain has read completely by now. */
     void recordConsumed(long now) {
         while (consumedCount < sentExchanges.size() && channel.bytesRead
                 >= sentExchanges.get(consumedCount).endOffset) {
--- a/fuzz/src/main/java/vetchrill/fuzz/targets/FramesTarget.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/targets/FramesTarget.java
@@ -14,8 +14,8 @@
 import vetchrill.transport.Limits;
 
 /**
- * Frames of client stubs and the fields in them: however the bytes are cut the same frames come out, they are those
- * of a slow reader that was written apart, and what the program writes is read back as it was.
+ * Frames of client stubs and the fields in them. Checks that the frames read do not depend on how the input is split,
+ * that they equal those of a simple, independent reader, and that written frames are those that the protocol specifies.
  */
 public final class FramesTarget implements Target {
     private static final Limits LIMITS = new Limits(64 << 20, 256);
@@ -30,7 +30,7 @@
         return List.of(FrameReader.class, Fields.class, Frames.class);
     }
 
-    /** Writes down what it is told, in words that compare. */
+    /** Records the events of the reader as text, so that they can be compared. */
     private static final class RecordingHandler implements FrameReader.Handler {
         final List<String> events = new ArrayList<>();
         private final Fields fields = new Fields();
@@ -43,7 +43,7 @@
                     + " "
                     + fields.indexIn("method", List.of("look", "note")) + " " + (to - fields.bodyOffset()) : "bad"));
             if (error == null && (fields.bodyOffset() < from || fields.bodyOffset() > to)) {
-                throw new InvariantViolation("fields end outside of their frame");
+                throw new InvariantViolation("fields end outside their frame");
             }
             return true;
         }
@@ -65,7 +65,7 @@
         }
     }
 
-    /** As the connection reads: a buffer that grows, pieces of given sizes. */
+    /** Reads as a connection does, with a growing buffer, either the whole input at once or pieces of random sizes. */
     private static List<String> readInPieces(byte[] input, SplittableRandom random, boolean whole) {
         RecordingHandler handler = new RecordingHandler();
         FrameReader reader = new FrameReader(LIMITS, handler);
@@ -78,7 +78,7 @@
                 if (from > 0) {
                     System.arraycopy(buf, from, buf, 0, to - from);
                 } else if (buf.length >= LIMITS.maxBufferedFrameBytes) {
-                    throw new InvariantViolation("a frame that the reader neither takes nor refuses fills its buffer");
+                    throw new InvariantViolation("a frame fills the buffer, neither accepted nor rejected");
                 } else {
                     buf = Arrays.copyOf(buf, Math.min(LIMITS.maxBufferedFrameBytes, 2 * buf.length));
                 }
@@ -99,7 +99,7 @@
                     break;
                 }
                 if (consumed > to - from) {
-                    throw new InvariantViolation("the reader takes more than there is");
+                    throw new InvariantViolation("the reader consumes more bytes than there are");
                 }
                 from += consumed;
             }
@@ -107,7 +107,7 @@
         return handler.events;
     }
 
-    /** The page of the protocol, read slowly: the whole input at once, one frame after the other. */
+    /** Reference reader: applies the protocol specification to the whole input, one frame after the other. */
     private static List<String> readSlowly(byte[] in) {
         List<String> events = new ArrayList<>();
         int offset = 0;
@@ -203,15 +203,15 @@
         List<String> whole = readInPieces(input, null, true);
         List<String> inPieces = readInPieces(input, new SplittableRandom(Arrays.hashCode(input)), false);
         if (!whole.equals(inPieces)) {
-            throw new InvariantViolation("the same bytes, cut otherwise, are other frames");
+            throw new InvariantViolation("the same bytes, split differently, give different frames");
         }
         if (!whole.equals(readSlowly(input))) {
-            throw new InvariantViolation("frames differ from those of the plain reader");
+            throw new InvariantViolation("frames differ from those of the reference reader");
         }
         checkWriter(input);
     }
 
-    /** What the program writes, read back by the rules of the page. */
+    /** Checks frames that the program writes against the protocol specification. */
     private static void checkWriter(byte[] input) {
         int stream = Arrays.hashCode(input);
         long retryAfter = stream & 0xfffff;
@@ -252,7 +252,7 @@
         }
         expected.writeBytes(payload);
         if (!Arrays.equals(frame, expected.toByteArray())) {
-            throw new InvariantViolation("a frame of type " + type + " is not written as the page says");
+            throw new InvariantViolation("a frame of type " + type + " is not written as specified");
         }
     }
 
@@ -278,7 +278,10 @@
                 2, 0, 0, 0, 1});
     }
 
-    /** Frames taken apart and put together again, some of them changed inside and with their length set right. */
+    /**
+     * Splits the input into frames, changes the type, the stream or the payload of some, and writes correct lengths
+     * mostly.
+     */
     @Override
     public byte[] mutate(byte[] input, SplittableRandom random) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -304,12 +307,12 @@
                 case 2 -> type = new int[] {2, 16, 4, 64, 255}[random.nextInt(5)];
                 case 3 -> payload = Arrays.copyOf(payload, payload.length + random.nextInt(300));
                 default -> {
-                    // Kept as it is.
+                    // Left unchanged.
                 }
             }
             byte[] frame = vetchrill.standin.StubFrames.frame(type & 0xff, stream, payload);
             if (random.nextInt(8) == 0) {
-                // A length that lies by little, or about as much as it may.
+                // A false length: off by a few bytes, or close to the smallest or largest valid length.
                 int falseLength = new int[] {frame.length - 5, frame.length - 3, 4, 5, 262_144,
                         262_145}[random.nextInt(6)];
                 for (int i = 0; i < 4; i++) {
--- a/fuzz/src/main/java/vetchrill/fuzz/targets/LinesTarget.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/targets/LinesTarget.java
@@ -10,7 +10,7 @@
 import vetchrill.protocol.InterpreterLines;
 import vetchrill.transport.Limits;
 
-/** The interpreter's notices, cut anywhere; and the commands that go to it, read back. */
+/** Notices of the interpreter, split anywhere, and the commands that the instance writes to it. */
 public final class LinesTarget implements Target {
     private static final Limits LIMITS = new Limits(64 << 20, 256);
 
@@ -35,7 +35,7 @@
         @Override
         public void onValue(long number, String id, String outcome, long duration, byte[] buf, int from, int to) {
             if (from < 0 || to < from || to > buf.length) {
-                throw new InvariantViolation("a result outside of the buffer");
+                throw new InvariantViolation("a result is outside the buffer");
             }
             events.add("value " + number + " " + id + " " + outcome + " " + duration + " "
                     + Arrays.hashCode(Arrays.copyOfRange(buf, from, to)));
@@ -83,7 +83,7 @@
                     break;
                 }
                 if (consumed > buf.length - from) {
-                    throw new InvariantViolation("the reader takes more than there is");
+                    throw new InvariantViolation("the reader consumes more bytes than there are");
                 }
                 from += consumed;
             }
@@ -96,7 +96,7 @@
     public void run(byte[] input) {
         List<String> whole = readInPieces(input, null);
         if (!whole.equals(readInPieces(input, new SplittableRandom(Arrays.hashCode(input))))) {
-            throw new InvariantViolation("the same bytes, cut otherwise, are other notices");
+            throw new InvariantViolation("the same bytes, split differently, give different notices");
         }
         byte[] body = Arrays.copyOf(input, Math.min(2_048, input.length));
         byte[] line = InterpreterLines.apply("00000000000000aa", "look", body);
@@ -106,12 +106,12 @@
         expected[expected.length - 2] = '\r';
         expected[expected.length - 1] = '\n';
         if (!Arrays.equals(line, expected)) {
-            throw new InvariantViolation("a run is not asked for as the page says");
+            throw new InvariantViolation("an APPLY command is not written as specified");
         }
         checkValidNotices(input);
     }
 
-    /** Notices made from the input by the page must come out as they went in. */
+    /** Checks that valid notices, built with random numbers derived from the input, are read with the same values. */
     private static void checkValidNotices(byte[] input) {
         SplittableRandom random = new SplittableRandom(Arrays.hashCode(input));
         StringBuilder text = new StringBuilder();
@@ -142,7 +142,7 @@
         }
         byte[] bytes = text.toString().getBytes(StandardCharsets.US_ASCII);
         if (!readInPieces(bytes, random).equals(expected)) {
-            throw new InvariantViolation("plain notices are not read as they were written");
+            throw new InvariantViolation("valid notices are not read with the same values");
         }
     }
 
--- a/fuzz/src/main/java/vetchrill/fuzz/targets/MembersTarget.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/targets/MembersTarget.java
@@ -11,7 +11,10 @@
 import vetchrill.members.MembershipConfig;
 import vetchrill.peersim.MembershipSimulation;
 
-/** A small fleet whose instances hear each other: an octet for its size, eight of seed, then steps of four. */
+/**
+ * Membership in a small simulated fleet. An input has one byte for the fleet size, an 8-byte seed, then steps of 4
+ * bytes each.
+ */
 public final class MembersTarget implements Target {
     private static final MembershipConfig CONFIG = new MembershipConfig(5_000, 1_500, 3, 4, 4, 30_000);
     private static final int HEADER_BYTES = 9;
@@ -48,7 +51,7 @@
             }
             world.heal();
             for (int i = 0; i < size; i++) {
-                // Whoever is gone comes back, but for the first, so that a death is seen to its end as well.
+                // All instances that are down restart except the first, so that a permanent death is covered as well.
                 if (i > 0 && !world.isUp(i)) {
                     world.start(i, 1);
                 }
@@ -73,7 +76,7 @@
                 world.kill(index);
                 world.start(index, 1);
             }
-            // Beside one that is not dead.
+            // A second process under the name of one that may still run.
             case 3 -> world.start(index, 1);
             case 4, 5 -> world.pause(index, 1_000L * c);
             case 6 -> world.setLinkCut(index, other, true);
--- a/fuzz/src/main/java/vetchrill/fuzz/targets/ModuleTarget.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/targets/ModuleTarget.java
@@ -15,12 +15,12 @@
 import vetchrill.fuzz.Target;
 
 /**
- * The decision module under any legal order of inputs for any deployment, watched by the four rules and by the
- * contract of its host. The watch knows exchanges by what was said of them alone and shares no code with the module.
+ * The decision module, for any deployment and any legal order of inputs, checked against the four rules and the
+ * contract of its host. The checking host knows only the inputs and the decisions and shares no code with the module.
  */
 public final class ModuleTarget implements Target {
     private static final int TENTHS_PER_MS = 10;
-    /** Decisions after one input past which the module is taken to go round in circles. */
+    /** More decisions than this after one input mean that the module is in an endless loop. */
     private static final int MAX_DECISIONS = 20_000;
     private static final int MAX_OPEN_EXCHANGES = 400;
 
@@ -48,7 +48,7 @@
         return seeds;
     }
 
-    /** Steps are of five octets: one is dropped, doubled, or put elsewhere. */
+    /** Copies one 5-byte step over another, sometimes with a random kind. */
     @Override
     public byte[] mutate(byte[] input, SplittableRandom random) {
         int stepCount = (input.length - OracleHost.HEADER_BYTES) / OracleHost.STEP_BYTES;
@@ -70,6 +70,7 @@
         new OracleHost(new FuzzedDataProvider(input)).run();
     }
 
+    /** An exchange with the state that the inputs and decisions have given it. */
     private static final class TrackedExchange extends Exchange {
         int answerCount;
         int runCount;
@@ -86,6 +87,7 @@
         boolean originalRan;
     }
 
+    /** Plays the inputs and checks every decision. */
     private static final class OracleHost implements Host {
         static final int HEADER_BYTES = 24;
         static final int STEP_BYTES = 5;
@@ -247,7 +249,7 @@
             ex.finished = !(preempted && unanswered);
             controller.onRunEnded(ex, outcome, duration, now);
             if (!preempted && unanswered) {
-                // The owner answers with what the run came to.
+                // The owner of the exchange answers it with the outcome of the run.
                 ex.answerCount++;
             }
         }
@@ -291,7 +293,7 @@
             }
         }
 
-        /** Time passes to the next look at the most, which comes a little late at times. */
+        /** Advances the time, at most to the next tick, which is sometimes late. */
         private void advanceTime(int selector) {
             long later = now + 1 + selector * (long) selector / 8;
             if (nextTickAt <= later) {
@@ -308,27 +310,27 @@
             int decisions = 0;
             while (controller.next(this)) {
                 if (++decisions > MAX_DECISIONS) {
-                    throw new InvariantViolation("decisions go on without an end");
+                    throw new InvariantViolation("decisions do not end");
                 }
             }
         }
 
         private void checkDeadlines() {
             if (nextTickAt == Long.MAX_VALUE) {
-                throw new InvariantViolation("no look is asked for any more");
+                throw new InvariantViolation("no tick is scheduled any more");
             }
             for (TrackedExchange ex : exchanges) {
                 boolean unanswered = ex.answerCount == 0 && !ex.callerDisconnected;
                 if (unanswered && now > ex.answerDeadline && now > ex.arrivedAt) {
-                    throw new InvariantViolation("an exchange is past its due time without an answer");
+                    throw new InvariantViolation("an exchange is past its deadline without an answer");
                 }
                 if (unanswered && stopAt > 0 && now >= stopAt) {
-                    throw new InvariantViolation("an exchange has no answer at the stop");
+                    throw new InvariantViolation("an exchange has no answer at the end of the drain");
                 }
             }
         }
 
-        /** All that runs ends, time goes on: nothing may be left. */
+        /** Ends all runs and calls and advances the time until every exchange is finished. */
         private void finishAll() {
             for (int i = 0; i < 200 && !matching(ex -> !ex.finished).isEmpty(); i++) {
                 if (stopAt > 0 && now >= stopAt) {
@@ -358,7 +360,7 @@
                 checkDeadlines();
             }
             if (!matching(ex -> !ex.finished).isEmpty()) {
-                throw new InvariantViolation("an exchange never comes to its end");
+                throw new InvariantViolation("an exchange never ends");
             }
         }
 
@@ -368,7 +370,7 @@
 
         private void recordAnswer(TrackedExchange ex, String answerName) {
             if (ex.callerDisconnected) {
-                throw new InvariantViolation(answerName + " after its caller had left");
+                throw new InvariantViolation(answerName + " after its caller has disconnected");
             }
             if (ex.answerCount++ > 0) {
                 throw new InvariantViolation(answerName + " after an answer");
@@ -383,22 +385,22 @@
         public void begin(Exchange exchange) {
             TrackedExchange ex = tracked(exchange);
             if (ex.running || ex.awaitingCall || ex.callInProgress || ex.replaying || ex.finished) {
-                throw new InvariantViolation("something is begun that is not held");
+                throw new InvariantViolation("an exchange is started that is not pending");
             }
             if (ex.answerCount > 0 || ex.callerDisconnected) {
-                throw new InvariantViolation("something is begun that is answered");
+                throw new InvariantViolation("an exchange is started that has an answer");
             }
             if (ex.group.effect != Effect.REPEATABLE && ex.runCount > 0 && !ex.paused) {
                 throw new InvariantViolation("an effect happens twice");
             }
             if (ex.repeat && ex.originalRan) {
-                throw new InvariantViolation("a repeat is run");
+                throw new InvariantViolation("a repeated exchange is run again");
             }
             if (drainStartedAt > 0 && ex.arrivedAt > drainStartedAt + deployment.drainGrace) {
-                throw new InvariantViolation("something is begun that arrived past the grace");
+                throw new InvariantViolation("an exchange that arrived after the drain grace period is started");
             }
             if (runningCount() + 1 > Math.max(1, deployment.sustainableRunsPerCore * deployment.cores)) {
-                throw new InvariantViolation("more is begun than the cores survive");
+                throw new InvariantViolation("more runs are started than the cores can sustain");
             }
             ex.runCount++;
             ex.running = true;
@@ -409,7 +411,7 @@
                 usedKb += each.finished ? 0 : hasRunMemory ? each.sizeKb * deployment.runMemoryFactor : each.sizeKb;
             }
             if (usedKb > deployment.memoryKb) {
-                throw new InvariantViolation("more is begun than the memory holds");
+                throw new InvariantViolation("more runs are started than fit in memory");
             }
         }
 
@@ -417,15 +419,15 @@
         public void reject(Exchange exchange, long retryAfter, boolean lastAnswer) {
             TrackedExchange ex = tracked(exchange);
             if (ex.running || ex.awaitingCall || ex.callInProgress) {
-                throw new InvariantViolation("something is denied that runs");
+                throw new InvariantViolation("an exchange that is running is rejected");
             }
             if (ex.runCount > 0 && ex.group.effect != Effect.REPEATABLE) {
-                throw new InvariantViolation("something is denied that has run");
+                throw new InvariantViolation("an exchange that has run is rejected");
             }
             if (retryAfter < 0 || retryAfter > deployment.maxRetryAfter) {
-                throw new InvariantViolation("advice beyond what is allowed");
+                throw new InvariantViolation("a retry-after delay is out of its range");
             }
-            recordAnswer(ex, "a denial");
+            recordAnswer(ex, "a rejection");
             ex.finished = true;
         }
 
@@ -441,7 +443,7 @@
         public void interrupt(Exchange exchange) {
             TrackedExchange ex = tracked(exchange);
             if (deployment.preemption == Deployment.Preemption.NONE || !ex.running) {
-                throw new InvariantViolation("something is interrupted that can't be");
+                throw new InvariantViolation("a run is interrupted that can't be");
             }
             ex.interrupted = true;
         }
@@ -450,16 +452,16 @@
         public void call(Exchange exchange, long until) {
             TrackedExchange ex = tracked(exchange);
             if (!ex.awaitingCall || ex.callInProgress) {
-                throw new InvariantViolation("a call is made that nobody wants");
+                throw new InvariantViolation("a call is made that was not requested");
             }
             if (ex.answerCount > 0 || ex.callerDisconnected) {
-                throw new InvariantViolation("a call is made for what is answered");
+                throw new InvariantViolation("a call is made for an exchange that is already answered");
             }
             ex.awaitingCall = false;
             ex.callInProgress = true;
             callsInProgress++;
             if (deployment.sharedDependency && callsInProgress > Math.max(1, deployment.callQuota)) {
-                throw new InvariantViolation("more calls than this server's part");
+                throw new InvariantViolation("more calls than the quota of this instance");
             }
         }
 
@@ -467,7 +469,7 @@
         public void skipCall(Exchange exchange) {
             TrackedExchange ex = tracked(exchange);
             if (!ex.awaitingCall || ex.group.benefitWithoutCall <= 0) {
-                throw new InvariantViolation("a call is left out that can't be");
+                throw new InvariantViolation("a call is skipped that can't be");
             }
             ex.awaitingCall = false;
             ex.running = true;
@@ -477,7 +479,7 @@
         public void replay(Exchange exchange) {
             TrackedExchange ex = tracked(exchange);
             if (!ex.repeat || ex.runCount > 0) {
-                throw new InvariantViolation("something is replayed that repeats nothing");
+                throw new InvariantViolation("an exchange is replayed that is not a repeat");
             }
             ex.replaying = true;
         }
@@ -486,7 +488,7 @@
         public void storeDedupKey(Exchange exchange, long span) {
             TrackedExchange ex = tracked(exchange);
             if (ex.group.effect != Effect.DEDUPLICATED || ex.keyStored || span <= 0) {
-                throw new InvariantViolation("something is remembered that needs it not");
+                throw new InvariantViolation("a deduplication key is stored without need");
             }
             ex.keyStored = true;
         }
@@ -495,7 +497,7 @@
         public void dropDedupKey(Exchange exchange) {
             TrackedExchange ex = tracked(exchange);
             if (!ex.keyStored || ex.runCount > 0) {
-                throw new InvariantViolation("something is forgotten that must be known");
+                throw new InvariantViolation("a deduplication key is dropped that is still needed");
             }
             ex.keyStored = false;
         }
@@ -503,28 +505,28 @@
         @Override
         public void setHealth(boolean good) {
             if (good && drainStartedAt > 0) {
-                throw new InvariantViolation("health is good on the way out");
+                throw new InvariantViolation("health is reported as good during the drain");
             }
         }
 
         @Override
         public void publishLoadHint(double hint) {
             if (deployment.loadHint == Deployment.LoadHint.NONE || !(hint >= 0 && hint < 1e9)) {
-                throw new InvariantViolation("a free value that means nothing");
+                throw new InvariantViolation("a load hint is out of its range");
             }
         }
 
         @Override
         public void setIdleTime(long span) {
             if (span < Math.min(100, deployment.callerIdleTime) || span > deployment.callerIdleTime) {
-                throw new InvariantViolation("an idle time out of its range");
+                throw new InvariantViolation("an idle time is out of its range");
             }
         }
 
         @Override
         public void scheduleTick(long span) {
             if (nextTickAt != Long.MAX_VALUE || span <= 0) {
-                throw new InvariantViolation("two timers run");
+                throw new InvariantViolation("two ticks are scheduled at once, or one is not in the future");
             }
             nextTickAt = now + span;
         }
--- a/fuzz/src/main/java/vetchrill/fuzz/targets/RecoveryTarget.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/targets/RecoveryTarget.java
@@ -14,16 +14,18 @@
 import vetchrill.versions.VersionManager;
 
 /**
- * A small fleet with its stores as they are, on media whose power goes at each write point, and which are put back to
- * an earlier day, swapped, spoilt and cut off; beside all that breaks versions and floors. An octet for its size, one
- * for its keepers, eight of seed, then steps of four.
+ * Recovery after power loss, in a small simulated fleet with the real durable stores. Their media lose power at any
+ * write and may be restored to an earlier state, swapped, corrupted or truncated; the faults of {@link VersionsTarget}
+ * occur as well. An input has one byte for the fleet size, one for the voters, an 8-byte seed, then steps of 4 bytes
+ * each.
  */
 public final class RecoveryTarget implements Target {
     private static final ScriptFormat SCRIPT_FORMAT = VersionsTarget.SCRIPT_FORMAT;
     private static final long LEASE_TENTHS_MS = VersionsTarget.LEASE_TENTHS_MS;
     private static final long GOSSIP_PERIOD_TENTHS_MS = VersionsTarget.GOSSIP_PERIOD_TENTHS_MS;
-    /** Steps that {@link VersionsTarget} knows; those of stores follow. A second process has no media of its own. */
+    /** Steps below this are those of {@link VersionsTarget}, steps from it concern the stores. */
     private static final int FIRST_STORE_STEP = 23;
+    /** This step of {@link VersionsTarget} is not used, since a second process would have no media of its own. */
     private static final int TWIN_STEP = 21;
     private static final int STEP_KINDS = FIRST_STORE_STEP + 9;
 
@@ -42,7 +44,7 @@
         play(input);
     }
 
-    /** The world as it ends, for whoever counts. */
+    /** Plays an input and returns the simulated fleet in its final state. */
     public static VersionsSimulation play(byte[] input) {
         FuzzedDataProvider script = new FuzzedDataProvider(Arrays.copyOf(input,
                 Math.min(input.length, SCRIPT_FORMAT.maxBytes())));
@@ -97,7 +99,10 @@
         }
     }
 
-    /** A version, a floor and a loss in the middle of them, with disks that come back otherwise, beside drawn ones. */
+    /**
+     * Random scripts, and scenarios with a power loss during a publication or a change of the minimum version, after
+     * which some media are older, swapped or corrupted.
+     */
     @Override
     public List<byte[]> seeds() {
         List<byte[]> seeds = new ArrayList<>(SCRIPT_FORMAT.seeds(900, 12));
@@ -117,7 +122,7 @@
                 {loseLater, 0, 9, 0}, {19, 0, 20, 0}, {restorePower, 0, 0, 0}, {20, 0, 0, 30}},
             {{saveMedia, 1, 0, 0}, {13, 0, 0, 0}, {19, 0, 30, 0}, {15, 0, 0, 0}, {20, 0, 0, 20}, {loseNow, 0, 0, 0},
                 {restoreMedia, 1, 0, 0}, {restorePower, 0, 0, 0}, {20, 0, 0, 30}},
-            // Of three keepers one was not there for the floor, and comes back with the one whose disk is older.
+            // One of three voters misses the minimum version; it recovers together with one whose media are older.
             {{saveMedia, 1, 0, 0}, {13, 0, 0, 0}, {19, 0, 30, 0}, {8, 0, 4, 0}, {15, 0, 0, 0}, {19, 0, 60, 0},
                 {loseNow, 0, 0, 0}, {restoreMedia, 1, 0, 0}, {18, 0, 0, 0}, {0, 0, 0, 0}, {20, 0, 0, 30}},
             {{13, 0, 0, 0}, {19, 0, 30, 0}, {loseNow, 0, 0, 0}, {swapMedia, 1, 0, 0}, {restorePower, 0, 0, 0},
--- a/fuzz/src/main/java/vetchrill/fuzz/targets/StoreTarget.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/targets/StoreTarget.java
@@ -17,8 +17,8 @@
 import vetchrill.store.DurableStore;
 
 /**
- * One store under commits, failures, losses at its write points and damage, held against what it told. Eight octets of
- * seed, then steps of three.
+ * The durable store under commits, write failures, power losses at its write points and corruption; what it recovers is
+ * compared with what it has confirmed. An input has an 8-byte seed, then steps of 3 bytes each.
  */
 public final class StoreTarget implements Target {
     private static final ScriptFormat SCRIPT_FORMAT = new ScriptFormat(8, 3, 60);
@@ -29,12 +29,15 @@
         private static final long serialVersionUID = 1;
     }
 
-    /** One play: the store, and what it said. */
+    /** The store and the state that it must recover. */
     private static final class StoreSession {
         private final SplittableRandom random;
         private final MemoryMedia media = new MemoryMedia();
         private final TreeMap<String, String> committed = new TreeMap<>();
-        /** What would be there with one that was refused since the last was kept: the power may still leave it. */
+        /**
+         * States after commits that have failed since the last successful one: any of them may be recovered after a
+         * power loss.
+         */
         private final List<TreeMap<String, String>> possibleStates = new ArrayList<>();
         private PowerLossDisk disk;
         private DurableStore store;
@@ -50,7 +53,7 @@
         private void reopen() throws IOException {
             disk = new PowerLossDisk(media, random.split(), 0.3, call -> {
                 if (media.totalBytes() > CAPACITY_BYTES) {
-                    throw new InvariantViolation(media.totalBytes() + " octets are past the bound");
+                    throw new InvariantViolation(media.totalBytes() + " bytes exceed the capacity");
                 }
                 if (writesUntilPowerLoss > 0 && --writesUntilPowerLoss == 0) {
                     throw new PowerLost();
@@ -62,14 +65,16 @@
             });
             store = new DurableStore(disk, OWNER, CAPACITY_BYTES);
             if (store.outcome().compareTo(DurableStore.RecoveryOutcome.TORN) > 0) {
-                throw new InvariantViolation("a store that is whole is " + store.outcome() + ": " + store.problem());
+                throw new InvariantViolation("an intact store is reported as " + store.outcome() + ": "
+                        + store.problem());
             }
             TreeMap<String, String> recovered = readEntries(store);
             if (!recovered.equals(committed) && !possibleStates.contains(recovered)) {
-                throw new InvariantViolation("what was told to be kept is not what is there");
+                throw new InvariantViolation("the recovered entries are not those that were confirmed");
             }
             if (store.lastCommit() < lastCommit) {
-                throw new InvariantViolation("the numbers went back from " + lastCommit + " to " + store.lastCommit());
+                throw new InvariantViolation("the commit number went back from " + lastCommit + " to "
+                        + store.lastCommit());
             }
             committed.clear();
             committed.putAll(recovered);
@@ -121,7 +126,10 @@
             reopen();
         }
 
-        /** On a copy, since nothing is promised of what follows: damage before the last commits is told. */
+        /**
+         * Checks that corruption before the last commits is detected, and that a store of another owner is not
+         * accepted. Works on a copy, since nothing is guaranteed after corruption.
+         */
         private void checkDamageDetected(int b, int c) throws IOException {
             MemoryMedia copy = new MemoryMedia(media);
             List<String> logs = copy.fileNames().stream().filter(each -> each.endsWith(".log")).toList();
@@ -134,16 +142,16 @@
                 if (new DurableStore(new PowerLossDisk(copy, random.split(), 0, call -> { }), "r2", CAPACITY_BYTES)
                         .outcome()
                         != DurableStore.RecoveryOutcome.FOREIGN) {
-                    throw new InvariantViolation("a store of another name counts");
+                    throw new InvariantViolation("a store of another owner is accepted");
                 }
             } else if (length > 4_000) {
-                // Commits have some hundred octets: behind the first quarter of the log there are whole ones.
+                // A commit is some hundred bytes long, so that intact ones follow the first quarter of the log.
                 copy.damage(newestLog, 60 + (b * 256 + c) % (length / 4 - 60), false);
                 DurableStore reopened = new DurableStore(new PowerLossDisk(copy, random.split(), 0, call -> { }), OWNER,
                         CAPACITY_BYTES);
                 if (reopened.outcome() != DurableStore.RecoveryOutcome.DAMAGED && !readEntries(reopened)
                         .equals(committed)) {
-                    throw new InvariantViolation("damage between commits is held to be " + reopened.outcome());
+                    throw new InvariantViolation("corruption between commits is reported as " + reopened.outcome());
                 }
             }
         }
@@ -190,13 +198,13 @@
                 } catch (PowerLost e) {
                     session.losePower();
                 } catch (IOException e) {
-                    // An idle slice failed: nothing hangs on it.
+                    // Writing a part of a snapshot has failed, which has no effect on the entries.
                     continue;
                 }
             }
             session.losePower();
         } catch (IOException e) {
-            throw new InvariantViolation("a store can't be opened: " + e.getMessage());
+            throw new InvariantViolation("the store can't be opened: " + e.getMessage());
         }
     }
 
--- a/fuzz/src/main/java/vetchrill/fuzz/targets/TargetRegistry.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/targets/TargetRegistry.java
@@ -4,7 +4,7 @@
 import vetchrill.fuzz.Target;
 import vetchrill.fuzz.chain.ChainTarget;
 
-/** The one place at which a target is registered. */
+/** All targets; a new target is added here only. */
 public final class TargetRegistry {
     private TargetRegistry() {
     }
--- a/fuzz/src/main/java/vetchrill/fuzz/targets/TextTargets.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/targets/TextTargets.java
@@ -30,7 +30,7 @@
 import vetchrill.wire.WireFormatException;
 import vetchrill.wire.WireHost;
 
-/** Targets whose input is a whole text or file: it is taken, or refused in the one way that its reader has. */
+/** Targets whose input is a whole text or file; the reader must accept it or reject it with its own exception. */
 final class TextTargets {
     private static final String SETTINGS = "{\"categories\":[{\"name\":\"look\",\"effect\":\"free\",\"aimMs\":400,"
             + "\"deadlineMs\":1000,\"gain\":1},{\"name\":\"note\",\"effect\":\"single_shot\",\"aimMs\":600,"
@@ -44,7 +44,7 @@
     private TextTargets() {
     }
 
-    /** A target that is one call. */
+    /** A target with constant seeds and words. */
     private abstract static class TextTarget implements Target {
         private final String name;
         private final List<Class<?>> covers;
@@ -92,19 +92,20 @@
                 try {
                     int code = Math.abs(MembershipResponses.readStatus(in));
                     if (code > 999) {
-                        throw new InvariantViolation("a status of more than three digits is taken");
+                        throw new InvariantViolation("a status with more than three digits is accepted");
                     }
                 } catch (IOException e) {
-                    // Refused.
+                    // Rejected, as it may be.
                 }
-                // A head and a body are bounded: what never ends may not keep the reporter for ever.
+                // Head and body have a maximum size, so that an endless response can not block the health reporter for
+                // good.
                 if (in.bytesRead > 4L * MembershipResponses.maxHeadBytes()) {
-                    throw new InvariantViolation("an answer without an end is read on and on");
+                    throw new InvariantViolation("an endless response is read without a limit");
                 }
                 onlyItsOwn(input);
             }
 
-            /** An answer that is kept to its length leaves the next one on the connection whole. */
+            /** Checks that responses on one connection are told apart by their lengths. */
             private void onlyItsOwn(byte[] input) {
                 String body = "x".repeat(input.length % 50);
                 String two = "HTTP/1.1 204 Told\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nX: y\r\ncontent-length: "
@@ -115,16 +116,16 @@
                     int second = body.isEmpty() || first == 204 ? MembershipResponses.readStatus(in) : 0;
                     int third = MembershipResponses.readStatus(in);
                     if (first != 204 || second != 200 || third != 503) {
-                        throw new InvariantViolation("answers on one connection are taken for each other");
+                        throw new InvariantViolation("responses on one connection are mixed up");
                     }
                 } catch (IOException e) {
-                    throw new InvariantViolation("a plain answer is refused", e);
+                    throw new InvariantViolation("a valid response is rejected", e);
                 }
             }
         };
     }
 
-    /** Bytes that go on for ever once the input is over: a peer that does not stop. */
+    /** Continues with header lines after the input, up to 1 MB, as a peer that does not stop sending. */
     private static final class EndlessInputStream extends InputStream {
         private final byte[] bytes;
         long bytesRead;
@@ -153,7 +154,7 @@
                 try {
                     DeploymentReader read = new DeploymentReader(new String(input, StandardCharsets.UTF_8));
                     if (read.groupNames.size() != read.deployment.groups.size() || read.deployment.groups.isEmpty()) {
-                        throw new InvariantViolation("groups without names");
+                        throw new InvariantViolation("there are no groups, or not as many as group names");
                     }
                 } catch (IllegalArgumentException e) {
                     checkOneLine(e.getMessage());
@@ -192,7 +193,7 @@
 
     private static void checkOneLine(String message) {
         if (message == null || message.isBlank() || message.indexOf('\n') >= 0) {
-            throw new InvariantViolation("a refusal is not one line that says why");
+            throw new InvariantViolation("an error message is not one line with a reason");
         }
     }
 
@@ -208,22 +209,22 @@
             @Override
             public void run(byte[] input) {
                 String whole = said(new ByteArrayInputStream(input));
-                SplittableRandom chance = new SplittableRandom(Arrays.hashCode(input));
+                SplittableRandom random = new SplittableRandom(Arrays.hashCode(input));
                 String pieces = said(new ByteArrayInputStream(input) {
                     @Override
                     public synchronized int read(byte[] buf, int from, int size) {
-                        return super.read(buf, from, Math.min(size, 1 + chance.nextInt(30)));
+                        return super.read(buf, from, Math.min(size, 1 + random.nextInt(30)));
                     }
                 });
                 if (!whole.equals(pieces)) {
-                    throw new InvariantViolation("the same lines, cut otherwise, are decided otherwise");
+                    throw new InvariantViolation("the same lines, split differently, give different decisions");
                 }
             }
 
             private String said(InputStream in) {
                 ByteArrayOutputStream out = new ByteArrayOutputStream();
                 java.io.PrintStream err = System.err;
-                // A controller that fails says so on the wire, and prints its trace besides.
+                // A controller that fails reports it on the wire; the stack trace that it prints as well is discarded.
                 System.setErr(new java.io.PrintStream(java.io.OutputStream.nullOutputStream()));
                 try {
                     new WireHost(in, out).run();
@@ -277,11 +278,11 @@
                         }
                     } catch (ConfigErrors e) {
                         if (e.messages.isEmpty()) {
-                            throw new InvariantViolation("refused without a word");
+                            throw new InvariantViolation("a file is rejected without a message");
                         }
                         for (String each : e.messages) {
                             if (!each.startsWith("f:")) {
-                                throw new InvariantViolation("a mistake without its place");
+                                throw new InvariantViolation("an error message does not begin with its position");
                             }
                         }
                     }
@@ -290,7 +291,7 @@
 
             private void whole(Fleet fleet) {
                 if (fleet.instanceCount() < 1 || fleet.stubCount() < 1 || fleet.groups.isEmpty()) {
-                    throw new InvariantViolation("half a fleet is taken for a whole one");
+                    throw new InvariantViolation("an incomplete fleet is accepted");
                 }
             }
         };
@@ -315,12 +316,12 @@
                 try {
                     Capture capture = Capture.read(Path.of("c"), input);
                     if (capture.rows != capture.arrivedAt.length || capture.rows != capture.retryAfter.length) {
-                        throw new InvariantViolation("columns of different lengths");
+                        throw new InvariantViolation("columns have different lengths");
                     }
                 } catch (CaptureException e) {
                     checkOneLine(e.getMessage());
                 }
-                // A damaged part whose sum is made right again gets past the sum: what is inside is checked as well.
+                // With a corrected checksum, corrupt content gets past the checksum check to the parser behind it.
                 byte[] mended = mended(input);
                 if (mended != null) {
                     try {
--- a/fuzz/src/main/java/vetchrill/fuzz/targets/VersionsTarget.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/targets/VersionsTarget.java
@@ -13,8 +13,8 @@
 import vetchrill.versions.VersionManager;
 
 /**
- * A small fleet that agrees on versions and floors: an octet for its size, one for its keepers and zones, eight of
- * seed, then steps of four.
+ * Agreement on the active and the minimum version, in a small simulated fleet. An input has one byte for the fleet
+ * size, one for the voters and zones, an 8-byte seed, then steps of 4 bytes each.
  */
 public final class VersionsTarget implements Target {
     private static final int HEADER_BYTES = 10;
@@ -102,7 +102,10 @@
         }
     }
 
-    /** Some are refused on one machine, some are sent in several pieces, some are alike under two numbers. */
+    /**
+     * Content of a version: some is rejected by one instance, some is sent in several pieces, some is the same under
+     * two numbers.
+     */
     private static byte[] content(int b, int c) {
         byte[] content = new byte[c % 8 == 7 ? 40_000 : 1 + c % 3];
         Arrays.fill(content, (byte) (b / 6));
@@ -110,7 +113,10 @@
         return content;
     }
 
-    /** A keeper lives twice: one is taught by three, the other is still heard by two who did not hear of that. */
+    /**
+     * Two processes run as one voter: one recovers from three voters, and the other still reaches two that do not know
+     * of it.
+     */
     private static int[][] twinScenario() {
         List<int[]> steps = new ArrayList<>(List.of(new int[] {21, 1, 0b011001, 0}, new int[] {19, 0, 255, 0}));
         int[][] cutPairs = {{4, 0}, {4, 3}, {4, 1}, {2, 0}, {2, 3}, {5, 0}, {5, 3}};
@@ -125,46 +131,46 @@
         return steps.toArray(new int[0][]);
     }
 
-    /** The stories that floors are made for, beside those that are drawn. */
+    /** Random scripts, and the failure scenarios that the minimum version protects against. */
     @Override
     public List<byte[]> seeds() {
         List<byte[]> seeds = new ArrayList<>(SCRIPT_FORMAT.seeds(700, 12));
         int[][][] scenarios = {
-            // One stands still, one is cut off, while a floor is raised.
+            // An instance is paused, or the network is partitioned, while the minimum version is raised.
             {{13, 0, 0, 0}, {19, 0, 30, 0}, {4, 4, 0, 120}, {15, 0, 0, 0}, {19, 0, 255, 0}, {20, 0, 0, 40}},
             {{13, 0, 0, 0}, {19, 0, 30, 0}, {8, 0, 8, 0}, {15, 0, 0, 0}, {19, 0, 255, 0}, {20, 0, 0, 40}},
-            // A keeper promises, loses its disk, and another that did not hear of it asks.
+            // A voter votes and then loses its disk, and an instance that has missed the vote requests a lease.
             {{13, 0, 0, 0}, {19, 0, 30, 0}, {8, 0, 20, 0}, {15, 0, 0, 0}, {19, 0, 20, 0}, {3, 1, 0, 0},
                 {8, 0, 1, 0}, {20, 0, 0, 30}},
             {{13, 0, 0, 0}, {19, 0, 30, 0}, {3, 1, 0, 0}, {15, 0, 0, 0}, {19, 0, 4, 0}, {3, 2, 0, 0}, {20, 0, 0, 30}},
-            // Words come late and twice, processes come back while they are on their way.
+            // Messages are late and duplicated; processes restart while messages are in flight.
             {{11, 0, 250, 0}, {10, 0, 3, 0}, {13, 0, 0, 0}, {2, 3, 0, 0}, {15, 0, 0, 0}, {2, 4, 0, 0}, {20, 0, 0, 30},
                 {2, 1, 0, 0}, {20, 0, 0, 30}},
-            // A promise that is not on the disk yet goes with its process.
+            // A vote that is not on disk yet is lost when its process is killed.
             {{8, 0, 4, 0}, {12, 1, 2, 20}, {13, 0, 0, 0}, {19, 0, 3, 0}, {15, 0, 0, 0}, {19, 0, 34, 0}, {2, 1, 0, 0},
                 {8, 0, 1, 0}, {20, 0, 0, 30}},
             {{8, 0, 4, 0}, {12, 1, 2, 60}, {13, 0, 0, 0}, {19, 0, 3, 0}, {15, 0, 0, 0}, {19, 0, 100, 0}, {2, 1, 0, 0},
                 {8, 0, 1, 0}, {20, 0, 0, 30}},
-            // A keeper lives twice, and the one from before goes on answering.
+            // Two processes run as one voter, and the older one goes on answering.
             {{8, 0, 4, 0}, {13, 0, 0, 0}, {19, 0, 20, 0}, {21, 1, 1, 0}, {19, 0, 80, 0}, {15, 0, 0, 0}, {19, 0, 80, 0},
                 {8, 0, 1, 0}, {20, 0, 0, 30}},
             {{8, 0, 4, 0}, {13, 0, 0, 0}, {15, 0, 0, 0}, {19, 0, 20, 0}, {21, 1, 1, 0}, {8, 0, 0, 0}, {20, 0, 0, 30}},
-            // Answers to a process come when another has its name.
+            // Responses to a process arrive when another one runs under its name.
             {{13, 0, 5, 4}, {11, 0, 250, 0}, {2, 3, 0, 0}, {19, 0, 60, 0}, {8, 0, 8, 0}, {11, 0, 0, 0}, {13, 0, 0, 0},
                 {19, 0, 4, 0}, {15, 0, 0, 0}, {19, 0, 4, 0}, {2, 3, 0, 0}, {20, 0, 0, 40}},
             {{11, 0, 250, 0}, {2, 3, 0, 0}, {19, 0, 80, 0}, {8, 0, 8, 0}, {11, 0, 0, 0}, {13, 0, 0, 0},
                 {19, 0, 3, 0}, {15, 0, 0, 0}, {19, 0, 3, 0}, {2, 3, 0, 0}, {20, 0, 0, 40}},
-            // Pieces are spoilt on their way.
+            // Pieces of content are corrupted in flight.
             {{22, 0, 2, 0}, {13, 0, 0, 7}, {20, 0, 0, 20}},
-            // Disks are full, contents large, refused, under one number twice.
+            // Disks are full; content is large, is rejected, or is published twice under one number.
             {{12, 1, 0, 0}, {13, 0, 0, 7}, {15, 0, 0, 0}, {20, 0, 0, 30}, {12, 1, 1, 0}, {20, 0, 0, 30}},
             {{8, 0, 24, 0}, {13, 0, 0, 7}, {13, 4, 0, 8}, {8, 0, 0, 0}, {20, 0, 0, 30}, {15, 0, 0, 0}},
             {{13, 0, 0, 6}, {20, 0, 0, 10}, {15, 0, 0, 0}, {20, 0, 0, 30}, {13, 1, 1, 15}, {15, 1, 1, 0}},
-            // Higher first, then lower; the publisher goes before anybody has its content.
+            // A higher version before a lower one; the publisher dies before any other instance has its content.
             {{13, 0, 3, 0}, {13, 0, 1, 0}, {20, 0, 0, 10}, {13, 1, 1, 1}, {20, 0, 0, 10}},
             {{13, 3, 2, 7}, {3, 3, 0, 0}, {13, 1, 1, 0}, {20, 0, 0, 30}},
         };
-        // Of five keepers one promises, forgets, is taught by three who did not hear of it; one of these promises.
+        // One of five voters votes, loses its state and recovers from three that missed the vote; one of these votes.
         int[][][] fiveVoterScenarios = {
             {{8, 0, 1, 0}, {13, 0, 0, 0}, {19, 0, 10, 0}, {15, 0, 0, 0}, {19, 0, 20, 0}, {8, 0, 3, 0}, {19, 0, 20, 0},
                 {3, 1, 0, 0}, {8, 0, 1, 0}, {19, 0, 255, 0}, {8, 0, 9, 0}, {20, 0, 0, 40}},
