--- a/lab/src/main/java/com/bertramlabs/plugins/hcl4j/HclSymbols.java
+++ b/lab/src/main/java/com/bertramlabs/plugins/hcl4j/HclSymbols.java
@@ -6,14 +6,14 @@
 import java.util.List;
 
 /**
- * The symbols of an HCL text with their lines. hcl4j's parser drops the lines and its lexer, which keeps them, is
- * visible in its own package only; hence this one class in there, and no other.
+ * Parses HCL into symbols that keep their line numbers. The parser of hcl4j drops the line numbers; its lexer keeps
+ * them but is visible only within this package, so this class has to be in it.
  */
 public final class HclSymbols {
     private HclSymbols() {
     }
 
-    /** Throws HCLParserException, with a line counted from 1 in its message, for what is no HCL. */
+    /** Throws HCLParserException, with a line number counted from 1 in its message if known, if the text is not HCL. */
     public static List<Symbol> parse(String text) throws HCLParserException {
         HCLLexer lexer = new HCLLexer(new StringReader(text));
         try {
@@ -21,12 +21,12 @@
         } catch (IOException e) {
             throw new HCLParserException("can't be read: " + e.getMessage());
         } catch (RuntimeException | Error e) {
-            // The lexer gives up on unbalanced braces and the like with whatever it stumbles on.
-            throw new HCLParserException("is no HCL from some point on");
+            // On unbalanced braces and the like the lexer fails with any exception or error.
+            throw new HCLParserException("is not valid HCL");
         }
-        // What is begun and never ended is not in the symbols, and nothing would tell of it.
+        // An element that is not terminated is missing in the symbols, and the lexer reports no error for it.
         if (lexer.yystate() != HCLLexer.YYINITIAL) {
-            throw new HCLParserException("ends in the middle of something: a brace, a quote or a value is missing");
+            throw new HCLParserException("ends unexpectedly: a brace, a quote or a value is missing");
         }
         return lexer.elementStack;
     }
--- a/lab/src/main/java/vetchrill/fleet/Fault.java
+++ b/lab/src/main/java/vetchrill/fleet/Fault.java
@@ -2,34 +2,35 @@
 
 import java.util.Set;
 
-/** What goes wrong in a run, and when; times in tenths of a millisecond from the start of the run. */
+/** A fault injected into a run. Times are tenths of a millisecond from the start of the run. */
 public sealed interface Fault {
+    /** When the fault begins. */
     long from();
 
-    /** When its cause is gone; Long.MAX_VALUE where that is never. */
+    /** When its cause is removed; Long.MAX_VALUE if never. */
     long until();
 
-    /** First tries come {@code size} times as often. */
+    /** First attempts arrive at {@code rateFactor} times their rate. */
     record Burst(long from, long until, double rateFactor) implements Fault {
     }
 
-    /** A part of the relays, drawn by the run's seed, is {@code size} times slower. */
+    /** A share of the instances, chosen by the seed of the run, is {@code slowdownFactor} times slower. */
     record Slowdown(long from, long until, double instanceRatio, double slowdownFactor) implements Fault {
     }
 
-    /** A part of the relays dies at once and comes back cold at {@code until}. */
+    /** A share of the instances, chosen by the seed of the run, crashes at once and restarts cold at {@code until}. */
     record Crash(long from, long until, double instanceRatio) implements Fault {
     }
 
-    /** All relays of some zones die at once and come back cold, together, at {@code until}. */
+    /** All instances of the zones crash at once and restart cold, together, at {@code until}. */
     record ZoneLoss(long from, long until, Set<String> zones) implements Fault {
     }
 
-    /** Every {@code every}, all connections between one stub and one relay, drawn by the seed, are reset. */
+    /** Every {@code period}, all connections between one stub and one instance, chosen by the seed, are reset. */
     record ConnectionReset(long from, long until, long period) implements Fault {
     }
 
-    /** A rolling deploy of the whole fleet begins; it lasts as long as its batches take. */
+    /** A rolling deploy of the whole fleet begins; it lasts until its last batch is replaced. */
     record RollingDeploy(long from) implements Fault {
         @Override
         public long until() {
--- a/lab/src/main/java/vetchrill/fleet/FleetFileReader.java
+++ b/lab/src/main/java/vetchrill/fleet/FleetFileReader.java
@@ -7,37 +7,40 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import vetchrill.fleet.Fleet.BalancingPolicy;
 import vetchrill.fleet.Fleet.Customer;
 import vetchrill.fleet.Fleet.Deploy;
+import vetchrill.fleet.Fleet.DirectoryDelays;
 import vetchrill.fleet.Fleet.Effect;
 import vetchrill.fleet.Fleet.Group;
-import vetchrill.fleet.Fleet.BalancingPolicy;
-import vetchrill.fleet.Fleet.MachineKind;
+import vetchrill.fleet.Fleet.InstanceRules;
 import vetchrill.fleet.Fleet.Load;
+import vetchrill.fleet.Fleet.MachineKind;
 import vetchrill.fleet.Fleet.NetworkDelays;
-import vetchrill.fleet.Fleet.StubPool;
 import vetchrill.fleet.Fleet.RetryPolicy;
-import vetchrill.fleet.Fleet.DirectoryDelays;
-import vetchrill.fleet.Fleet.InstanceRules;
-import vetchrill.fleet.Fleet.Subjects;
 import vetchrill.fleet.Fleet.SharedTier;
+import vetchrill.fleet.Fleet.StubPool;
+import vetchrill.fleet.Fleet.Subjects;
 import vetchrill.fleet.Fleet.Zone;
 import vetchrill.hcl.ConfigBlock;
 
 /** Reads a fleet from HCL; see docs/planner-operators.md for every key, its unit and its range. */
 public final class FleetFileReader {
     private static final double DAY_MS = 86_400_000;
+    private static final int TENTHS_PER_MS = 10;
+    private static final int KB_PER_MB = 1024;
     private static final int MAX_INSTANCES = 2_000;
     private static final int MAX_STUBS = 5_000;
 
     private FleetFileReader() {
     }
 
-    /** Throws Mistakes with all that is wrong. */
+    /** Reads a file; throws ConfigErrors with all errors of the file. */
     public static Fleet read(Path file) {
         return read(ConfigBlock.read(file));
     }
 
+    /** Reads the blocks of a parsed file; throws ConfigErrors with all errors of the file. */
     public static Fleet read(ConfigBlock root) {
         List<MachineKind> kinds = new ArrayList<>();
         for (ConfigBlock block : root.blocks("kind")) {
@@ -57,9 +60,10 @@
             instances += zone.count();
         }
         if (zones.isEmpty()) {
-            root.addError("zone", "one block at least is needed");
+            root.addError("zone", "at least one block is required");
         } else if (instances == 0 || instances > MAX_INSTANCES) {
-            root.addError("zone", "all zones together should have 1 to " + MAX_INSTANCES + " relays, not " + instances);
+            root.addError("zone", "all zones together should have 1 to " + MAX_INSTANCES + " instances, not "
+                    + instances);
         }
         ConfigBlock tierBlock = root.block("tier");
         SharedTier tier = root.hasBlock("tier") ? new SharedTier(tierBlock.label(),
@@ -70,7 +74,7 @@
             groups.add(group(block, tier != null));
         }
         if (groups.isEmpty()) {
-            root.addError("group", "one block at least is needed");
+            root.addError("group", "at least one block is required");
         }
         checkSharesSum(root, "group", groups.stream().map(Group::requestShare).toList());
         List<Customer> customers = new ArrayList<>();
@@ -100,14 +104,13 @@
         ConfigBlock deploy = root.block("deploy");
         Fleet fleet = new Fleet(root.text("name", "fleet"), zones, kinds, groups, customers, pools,
                 new NetworkDelays(timeFromMs(network, "within_ms", 0, 1_000, 0.2),
-                timeFromMs(network, "across_ms", 0, 1_000, 2)),
+                        timeFromMs(network, "across_ms", 0, 1_000, 2)),
                 new DirectoryDelays(timeFromMs(roster, "lag_ms", 0, 600_000, 1_500),
-                timeFromMs(roster, "silent_ms", 0, 600_000, 4_500)),
-                rules(rules),
-                tier, new Load(load.number("per_s", 0, 1e6, Double.NaN), load.number("swing", 0, 1, 0),
+                        timeFromMs(roster, "silent_ms", 0, 600_000, 4_500)),
+                rules(rules), tier, new Load(load.number("per_s", 0, 1e6, Double.NaN), load.number("swing", 0, 1, 0),
                         timeFromMs(load, "period_ms", 100, DAY_MS, 30_000)),
                 new Subjects(subjects.integer("distinct", 1, 100_000_000, -1),
-                subjects.number("skew", 0, 3, Double.NaN)),
+                        subjects.number("skew", 0, 3, Double.NaN)),
                 new Deploy(deploy.number("batch", 0.001, 1, 0.2), timeFromMs(deploy, "gap_ms", 0, DAY_MS, 1_000),
                         deploy.oneOf("order", "spread", "zones").equals("spread"),
                         timeFromMs(deploy, "start_ms", 0, DAY_MS, 1_000)),
@@ -121,18 +124,18 @@
         double loss = block.number("crowd_loss", 0, 10, Double.NaN);
         if (Double.isNaN(threshold) != Double.isNaN(loss)) {
             block.addError(Double.isNaN(threshold) ? "crowd_loss" : "crowd_from",
-                    "goes with crowd_from and crowd_loss both");
+                    "crowd_from and crowd_loss must be set together");
         }
         int descriptors = block.integer("descriptors", 32, 1_000_000, 1_024);
         int table = block.integer("connection_table", 1, 1_000_000, descriptors / 8);
         if (table > descriptors) {
-            block.addError("connection_table", "is " + table + ", which is more than the " + descriptors
-                    + " descriptors");
+            block.addError("connection_table", "is " + table + ", should be at most the number of descriptors, "
+                    + descriptors);
         }
         return new MachineKind(block.label(), block.integer("cores", 1, 1_024), block.number("speed", 0.01, 100, 1),
                 block.number("speed_cv", 0, 1, 0), exactTimeFromMs(block, "reading_ms", 0, 10_000, Double.NaN),
                 threshold, loss,
-                block.number("memory_mb", 0.1, 1e6) * 1024, table, block.number("table_tax", 0, 100, 0),
+                block.number("memory_mb", 0.1, 1e6) * KB_PER_MB, table, block.number("table_tax", 0, 100, 0),
                 exactTimeFromMs(block, "connect_ms", 0, 1_000, 0), descriptors, block.number("cold_share", 0.01, 1, 1),
                 timeFromMs(block, "warm_up_ms", 0, DAY_MS, 0), block.number("price", 0, 1e9, 1));
     }
@@ -150,7 +153,7 @@
         }
         double calls = block.number("calls", 0, 1, 0);
         if (calls > 0 && !hasTier) {
-            block.addError("calls", "needs a tier block, which the file has not");
+            block.addError("calls", "needs a tier block, which is missing");
         }
         return new Group(block.label(), effect, slo, timeout, block.number("benefit", 0, 1e6, 1),
                 block.number("late_share", 0, 1, 0), block.number("share", 0, 1, Double.NaN),
@@ -164,11 +167,11 @@
         RetryPolicy retry = RetryPolicy.valueOf(block.oneOf("retry", "none", "limited", "unlimited").toUpperCase());
         int maxAttempts = block.integer("tries", 2, 10_000, 3);
         if (retry != RetryPolicy.LIMITED && block.has("tries")) {
-            block.addError("tries", "goes with retry = \"limited\" only");
+            block.addError("tries", "is allowed only with retry = \"limited\"");
         }
         String zone = block.text("zone", "");
         if (!zone.isEmpty() && !zones.contains(zone)) {
-            block.addError("zone", "'" + zone + "' is no zone of this file");
+            block.addError("zone", "'" + zone + "' is not a zone of this file");
         }
         return new StubPool(block.label(), block.integer("count", 1, MAX_STUBS),
                 BalancingPolicy.valueOf(block.oneOf("habit", "round", "least", "subject", "report").toUpperCase()),
@@ -185,7 +188,7 @@
                 timeFromMs(block, "idle_ms", 10, DAY_MS, 15_000), block.number("run_growth", 1, 1_000, 4),
                 timeFromMs(block, "restart_ms", 0, DAY_MS, 2_000));
         if (rules.gracePeriod() > rules.stopTimeout()) {
-            block.addError("grace_ms", "is past stop_ms, should be at most that");
+            block.addError("grace_ms", "should be at most stop_ms");
         }
         return rules;
     }
@@ -216,19 +219,21 @@
         }
     }
 
+    /** Reads a duration in milliseconds, rounded to tenths of a millisecond. */
     private static long timeFromMs(ConfigBlock block, String key, double min, double max) {
-        return Math.round(block.number(key, min, max) * 10);
+        return Math.round(block.number(key, min, max) * TENTHS_PER_MS);
     }
 
     private static long timeFromMs(ConfigBlock block, String key, double min, double max, double defaultValue) {
-        return Math.round(block.number(key, min, max, defaultValue) * 10);
+        return Math.round(block.number(key, min, max, defaultValue) * TENTHS_PER_MS);
     }
 
+    /** Reads a duration in milliseconds as tenths of a millisecond, not rounded. */
     private static double exactTimeFromMs(ConfigBlock block, String key, double min, double max) {
-        return block.number(key, min, max) * 10;
+        return block.number(key, min, max) * TENTHS_PER_MS;
     }
 
     private static double exactTimeFromMs(ConfigBlock block, String key, double min, double max, double defaultValue) {
-        return block.number(key, min, max, defaultValue) * 10;
+        return block.number(key, min, max, defaultValue) * TENTHS_PER_MS;
     }
 }
--- a/lab/src/main/java/vetchrill/hcl/ConfigBlock.java
+++ b/lab/src/main/java/vetchrill/hcl/ConfigBlock.java
@@ -22,19 +22,21 @@
 import java.util.TreeSet;
 
 /**
- * One block of an HCL file, read key by key. Each reader says what is allowed; what is not is noted with its place
- * and a stand-in value is returned, so that {@link #check} can tell of all mistakes of the file at once.
+ * One block of an HCL file, read key by key. The reading methods state which values are allowed. An invalid value is
+ * recorded as an error with its line, and a default is returned in its place, so that {@link #check} reports all
+ * errors of the file at once. Keys and blocks that were never asked for are errors too.
  */
 public final class ConfigBlock {
     private static final int MAX_FILE_BYTES = 1 << 20;
 
+    /** The value of a key; without a symbol if the lexer found none. */
     private record Value(Symbol symbol, int line) {
     }
 
     private record LocatedError(int line, String text) {
     }
 
-    /** What all blocks of one file share. */
+    /** The state shared by all blocks of one file. */
     private static final class ParsedFile {
         final String file;
         final List<LocatedError> errors = new ArrayList<>();
@@ -51,6 +53,7 @@
     private final int line;
     private final Map<String, Value> values = new LinkedHashMap<>();
     private final List<ConfigBlock> children = new ArrayList<>();
+    /** Keys and block types asked for so far, which are those allowed in this block. */
     private final Set<String> knownKeys = new TreeSet<>();
     private final Set<String> knownBlockTypes = new TreeSet<>();
 
@@ -62,20 +65,21 @@
         parsedFile.blocks.add(this);
     }
 
-    /** Throws Mistakes where there is no such file or it holds no HCL. */
+    /** Parses a file and returns its root block; throws ConfigErrors if it cannot be read or is not HCL. */
     public static ConfigBlock read(Path file) {
         try {
             if (Files.isDirectory(file) || Files.size(file) > MAX_FILE_BYTES) {
-                throw new ConfigErrors(List.of(file + ": no HCL file of at most " + (MAX_FILE_BYTES >> 10) + " KiB"));
+                throw new ConfigErrors(List.of(file + ": not a file of at most " + (MAX_FILE_BYTES >> 10) + " KiB"));
             }
             return parse(file.toString(), Files.readString(file));
         } catch (MalformedInputException e) {
-            throw new ConfigErrors(List.of(file + ": no text in UTF-8"));
+            throw new ConfigErrors(List.of(file + ": not text in UTF-8"));
         } catch (IOException e) {
             throw new ConfigErrors(List.of(file + ": can't be read"));
         }
     }
 
+    /** Parses a text and returns its root block; {@code file} is the name used in error messages. */
     public static ConfigBlock parse(String file, String text) {
         ParsedFile parsedFile = new ParsedFile(file);
         ConfigBlock root = new ConfigBlock(parsedFile, "the file", "", 1);
@@ -95,7 +99,7 @@
                 ConfigBlock child = new ConfigBlock(parsedFile, names.get(0), names.size() > 1 ? names.get(1) : "",
                         atLine);
                 if (names.size() > 2) {
-                    addError(atLine, names.get(0), "has one label at most");
+                    addError(atLine, names.get(0), "has more than one label");
                 }
                 children.add(child);
                 child.addSymbols(children(symbol));
@@ -119,12 +123,13 @@
         return label;
     }
 
+    /** Whether the block contains the key. */
     public boolean has(String key) {
         knownKeys.add(key);
         return values.containsKey(key);
     }
 
-    /** Notes what is wrong with a key of this block, or with the block where the key is not in it. */
+    /** Records an error of a key, at the line of the key if it is in the block, else at that of the block. */
     public void addError(String key, String message) {
         addError(values.containsKey(key) ? values.get(key).line : line, key, message);
     }
@@ -139,7 +144,7 @@
         return value == null ? null : value.symbol;
     }
 
-    /** The lexer leaves numbers and truths as texts beside the word for what they are. */
+    /** Converts a value by the type that the lexer names beside its text; null if it has none of the three types. */
     private static Object typedValue(Symbol symbol) {
         if (!(symbol instanceof HCLValue value) || value.value == null) {
             return null;
@@ -158,6 +163,7 @@
         return "string".equals(value.type) ? text : null;
     }
 
+    /** Returns the value of a key, or null if it is absent or of another type, and records that as an error. */
     private Object plain(String key, String expected, Class<?> valueType, boolean required) {
         Symbol symbol = value(key);
         if (valueType.isInstance(typedValue(symbol))) {
@@ -171,11 +177,12 @@
         return null;
     }
 
-    /** A number from {@code least} to {@code most}. */
+    /** Returns a number from {@code min} to {@code max}; a missing key is an error. */
     public double number(String key, double min, double max) {
         return number(key, min, max, min, true);
     }
 
+    /** Returns a number from {@code min} to {@code max}, or the default if the key is absent. */
     public double number(String key, double min, double max, double defaultValue) {
         return number(key, min, max, defaultValue, false);
     }
@@ -199,10 +206,12 @@
                 : Double.toString(value);
     }
 
+    /** Returns a whole number from {@code min} to {@code max}; a missing key is an error. */
     public int integer(String key, int min, int max) {
         return integer(key, min, max, number(key, min, max));
     }
 
+    /** Returns a whole number from {@code min} to {@code max}, or the default if the key is absent. */
     public int integer(String key, int min, int max, int defaultValue) {
         return integer(key, min, max, number(key, min, max, defaultValue));
     }
@@ -220,27 +229,28 @@
         return got == null ? defaultValue : (Boolean) got;
     }
 
+    /** Returns a string; a missing key is an error. */
     public String text(String key) {
-        Object got = plain(key, "a text in quotes", String.class, true);
+        Object got = plain(key, "a quoted string", String.class, true);
         return got == null ? "" : (String) got;
     }
 
     public String text(String key, String defaultValue) {
-        Object got = plain(key, "a text in quotes", String.class, false);
+        Object got = plain(key, "a quoted string", String.class, false);
         return got == null ? defaultValue : (String) got;
     }
 
-    /** The path of a folder, there or not. */
+    /** Returns the path of a directory, which need not exist. */
     public Path path(String key) {
         try {
             return Path.of(text(key));
         } catch (InvalidPathException e) {
-            addError(key, "should be the path of a folder");
+            addError(key, "should be the path of a directory");
             return Path.of("");
         }
     }
 
-    /** One of the words allowed; the first of them where the key is absent. */
+    /** Returns one of the allowed strings, or the first of them if the key is absent. */
     public String oneOf(String key, String... allowed) {
         String got = text(key, allowed[0]);
         if (!List.of(allowed).contains(got)) {
@@ -250,6 +260,7 @@
         return got;
     }
 
+    /** Returns a list of strings, empty if the key is absent. */
     public List<String> texts(String key) {
         List<String> texts = new ArrayList<>();
         Symbol symbol = value(key);
@@ -261,17 +272,17 @@
                 if (typedValue(each) instanceof String text) {
                     texts.add(text);
                 } else {
-                    addError(key, "should be a list of texts in quotes");
+                    addError(key, "should be a list of quoted strings");
                     return List.of();
                 }
             }
         } else {
-            addError(key, "should be a list of texts in quotes");
+            addError(key, "should be a list of quoted strings");
         }
         return texts;
     }
 
-    /** Whole numbers by name, as in {@code { std = 4, big = 1 }}. */
+    /** Returns whole numbers by name, as in {@code { std = 4, big = 1 }}. */
     public Map<String, Integer> counts(String key, int max) {
         Map<String, Integer> counts = new LinkedHashMap<>();
         Symbol symbol = value(key);
@@ -296,6 +307,7 @@
         return counts;
     }
 
+    /** Returns all child blocks of a type, in the order of the file; two with the same label are an error. */
     public List<ConfigBlock> blocks(String type) {
         knownBlockTypes.add(type);
         List<ConfigBlock> found = new ArrayList<>();
@@ -311,7 +323,7 @@
         return found;
     }
 
-    /** The only block of its type; an empty one where it is absent, whose keys then have their stand-ins. */
+    /** Returns the only child block of a type, or an empty one, whose keys all have their defaults, if it is absent. */
     public ConfigBlock block(String type) {
         List<ConfigBlock> found = blocks(type);
         if (found.size() > 1) {
@@ -324,12 +336,12 @@
         return !blocks(type).isEmpty();
     }
 
-    /** The file that this block is from. */
+    /** Returns the name of the file that this block is from. */
     public String file() {
         return parsedFile.file;
     }
 
-    /** Throws Mistakes with all that was noted, unknown keys included, if there is any. */
+    /** Throws ConfigErrors with all errors of the file, unknown keys and blocks included, if there are any. */
     public void check() {
         for (ConfigBlock block : List.copyOf(parsedFile.blocks)) {
             block.reportUnknown();
@@ -342,7 +354,7 @@
 
     private void reportUnknown() {
         if (knownKeys.isEmpty() && knownBlockTypes.isEmpty()) {
-            // Nobody has looked into it: the block around it tells that it is not known there.
+            // The block was never read: its parent reports it as unknown.
             return;
         }
         for (Map.Entry<String, Value> each : values.entrySet()) {
@@ -353,7 +365,7 @@
         }
         for (ConfigBlock block : children) {
             if (!knownBlockTypes.contains(block.type)) {
-                addError(block.line, block.type, "is no block of " + this + ", allowed are "
+                addError(block.line, block.type, "is not a block of " + this + ", allowed are "
                         + (knownBlockTypes.isEmpty() ? "none" : String.join(", ", knownBlockTypes)));
             }
         }
--- a/lab/src/main/java/vetchrill/hcl/ConfigErrors.java
+++ b/lab/src/main/java/vetchrill/hcl/ConfigErrors.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** All that is wrong with what a person wrote, one line each with file, line, key and what is allowed. */
+/** All errors of a configuration file, one message each, with file, line, key and the allowed values. */
 public final class ConfigErrors extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/lab/src/test/java/vetchrill/capture/CaptureTest.java
+++ b/lab/src/test/java/vetchrill/capture/CaptureTest.java
@@ -224,7 +224,7 @@
             CaptureConfig.readFrom(root);
             root.check();
         } catch (ConfigErrors e) {
-            assertEquals(e.messages, List.of("o.hcl:1: kind: is missing in capture, should be a text in quotes",
+            assertEquals(e.messages, List.of("o.hcl:1: kind: is missing in capture, should be a quoted string",
                     "o.hcl:4: subject_key: should be 32 hexadecimal digits, the same on every relay",
                     "o.hcl:5: ring_rows: is 3, should be a number from 64 to 1048576"));
             return;
--- a/lab/src/test/java/vetchrill/fleet/FleetFileReaderTest.java
+++ b/lab/src/test/java/vetchrill/fleet/FleetFileReaderTest.java
@@ -10,7 +10,7 @@
 import vetchrill.fleet.Fleet.RetryPolicy;
 import vetchrill.hcl.ConfigBlock;
 
-/** The words of a fleet file that are read by enum name. */
+/** Values of a fleet file that are converted to enum constants by name. */
 @Test
 public class FleetFileReaderTest {
     private static StubPool pool(String keys) {
