--- a/lab/src/main/java/vetchrill/planner/CapturedDemand.java
+++ b/lab/src/main/java/vetchrill/planner/CapturedWorkload.java
@@ -6,8 +6,8 @@
 import vetchrill.fleet.Fleet;
 import vetchrill.model.Workload;
 
-/** Demand as it was captured: its shape over time, and works, subjects and sizes drawn from those seen. */
-final class CapturedDemand implements Workload {
+/** A captured workload: its rate over time, with core times, subjects and sizes drawn from the observed values. */
+final class CapturedWorkload implements Workload {
     private final LoadProfile profile;
     private final Sample[] workSamples;
     private final Sample[] sizeSamples;
@@ -17,9 +17,8 @@
     private final long[] subjects;
     private final double loadFactor;
 
-    CapturedDemand(Fleet fleet, CaptureMerge merged, int[] groupIndexes, LoadProfile profile, Sample[] workSamples,
-            Sample[] sizeSamples,
-            Sample[] memorySamples) {
+    CapturedWorkload(Fleet fleet, CaptureMerge merged, int[] groupIndexes, LoadProfile profile, Sample[] workSamples,
+            Sample[] sizeSamples, Sample[] memorySamples) {
         this.profile = profile;
         this.workSamples = workSamples;
         this.sizeSamples = sizeSamples;
@@ -47,7 +46,7 @@
         }
     }
 
-    private CapturedDemand(CapturedDemand source, double loadFactor) {
+    private CapturedWorkload(CapturedWorkload source, double loadFactor) {
         profile = source.profile;
         workSamples = source.workSamples;
         sizeSamples = source.sizeSamples;
@@ -58,9 +57,9 @@
         this.loadFactor = loadFactor;
     }
 
-    /** The same in shape with {@code factor} times as many first tries. */
-    CapturedDemand scaledBy(double loadFactor) {
-        return new CapturedDemand(this, this.loadFactor * loadFactor);
+    /** A workload of the same shape with {@code loadFactor} times as many first attempts. */
+    CapturedWorkload scaledBy(double loadFactor) {
+        return new CapturedWorkload(this, this.loadFactor * loadFactor);
     }
 
     @Override
--- a/lab/src/main/java/vetchrill/planner/ConfidenceInterval.java
+++ b/lab/src/main/java/vetchrill/planner/ConfidenceInterval.java
@@ -2,17 +2,18 @@
 
 import java.util.Arrays;
 
-/** The mean over seeds, and where it lies nine times of ten. */
+/** A mean over seeds with the limits of its 90% confidence interval. */
 public record ConfidenceInterval(double mean, double low, double high) {
-    /** Student's quantile at 0.95 by degrees of freedom; past the table the normal's. */
+    /** Quantiles of Student's t distribution at 0.95, by degrees of freedom from 1; beyond, the normal quantile. */
     private static final double[] STUDENT_T_95 = {6.31, 2.92, 2.35, 2.13, 2.02, 1.94, 1.89, 1.86, 1.83, 1.81};
 
-    /** The same for shares, which no interval takes past 0 and 1. */
+    /** The interval for shares, limited to 0 and 1. */
     public static ConfidenceInterval ofShares(double... values) {
         ConfidenceInterval interval = of(values);
         return new ConfidenceInterval(interval.mean, Math.max(0, interval.low), Math.min(1, interval.high));
     }
 
+    /** The interval for values, of which NaN are ignored. */
     public static ConfidenceInterval of(double... values) {
         double[] finite = Arrays.stream(values).filter(value -> !Double.isNaN(value)).toArray();
         int count = finite.length;
--- a/lab/src/main/java/vetchrill/planner/CoreTimeEstimator.java
+++ b/lab/src/main/java/vetchrill/planner/CoreTimeEstimator.java
@@ -6,11 +6,12 @@
 import vetchrill.model.SharedCores;
 
 /**
- * Core time that readings and runs of one relay got, from when each began and ended: cores are shared alike, so how
- * many wanted one at each moment tells how fast each of them went. The inverse of {@link SharedCores}.
+ * Estimates the core time that each reading and run of one instance received, from their start and end times: cores
+ * are shared equally, so the number of runnable jobs at each moment gives the speed of each job. The inverse of
+ * {@link SharedCores}.
  */
 final class CoreTimeEstimator {
-    /** Ends of intervals by time, begins and ends of one time apart; the sign of an entry tells which. */
+    /** Start and end times of jobs in order; {@link #jobDeltas} holds +1 for a start and -1 for an end. */
     private final long[] eventTimes;
     private final byte[] jobDeltas;
     private final long readLatency;
@@ -19,7 +20,10 @@
     private final int[] runnableJobs;
     private final double[] cumulativeCoreTime;
 
-    /** {@code latency} is the part of each reading in which it waited for the program and not for a core. */
+    /**
+     * @param readLatency the part of each reading during which it waits for the program rather than for a core, in
+     *        tenths of a millisecond
+     */
     CoreTimeEstimator(Capture capture, MachineKind kind, long readLatency) {
         this.readLatency = readLatency;
         cores = kind.cores();
@@ -37,7 +41,7 @@
             }
         }
         encodedEvents = Arrays.copyOf(encodedEvents, eventCount);
-        // Of one time, what ends comes before what begins.
+        // The lowest bit is 1 for a start: at equal times, ends sort before starts.
         Arrays.sort(encodedEvents);
         eventTimes = new long[eventCount];
         jobDeltas = new byte[eventCount];
@@ -52,6 +56,7 @@
         }
     }
 
+    /** Whether the reading of this row took any time on a core. */
     boolean hasReading(Capture capture, int row) {
         return capture.dequeuedAt[row] - readLatency > capture.arrivedAt[row];
     }
@@ -68,7 +73,10 @@
         return capture.runStartedAt[row] > 0 && capture.runDuration[row] > 0;
     }
 
-    /** With a crowding curve: to be called before the questions below. */
+    /**
+     * Computes core times for a contention curve; must be called before {@link #readingCoreTime} and
+     * {@link #runCoreTime}.
+     */
     void applyContention(double threshold, double lossPerJob) {
         double cumulative = 0;
         for (int i = 0; i < eventTimes.length; i++) {
@@ -80,12 +88,12 @@
         }
     }
 
-    /** Core time that a job present from one time to another got, both ends of intervals told at the start. */
+    /** Core time received by a job that was runnable from {@code from} to {@code to}, both of them event times. */
     private double coreTimeBetween(long from, long to) {
         return cumulativeCoreTime[indexAt(to)] - cumulativeCoreTime[indexAt(from)];
     }
 
-    /** Jobs for each core at a time, those that begin then included. */
+    /** Runnable jobs per core at a time, including those that start at that time. */
     double jobsPerCore(long time) {
         int index = indexAt(time);
         while (index + 1 < eventTimes.length && eventTimes[index + 1] == time) {
@@ -99,7 +107,7 @@
         return index >= 0 ? index : Math.max(0, Math.min(eventTimes.length - 1, -index - 2));
     }
 
-    /** The most jobs for each core that were ever seen. */
+    /** The largest number of runnable jobs per core in the capture. */
     double maxJobsPerCore() {
         return Arrays.stream(runnableJobs).max().orElse(0) / (double) cores;
     }
--- a/lab/src/main/java/vetchrill/planner/FittedModel.java
+++ b/lab/src/main/java/vetchrill/planner/FittedModel.java
@@ -4,6 +4,7 @@
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.HashSet;
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -18,41 +19,42 @@
 import vetchrill.model.Workload;
 
 /**
- * What a capture tells of a fleet: the demand behind the offered load, the work of each group, what reading costs and
- * how a crowd slows the cores. It sees rows only, never what clients counted; what rows can't tell stays as the file
- * says.
+ * A fleet model fitted to captures: the workload behind the offered load, the core time of each group, the cost of a
+ * reading and how contention slows the cores. It uses captured rows only, never counts of the clients; values that rows
+ * can't show are those of the fleet file.
  */
 public final class FittedModel {
+    /** Candidate contention curves: threshold in jobs per core, and speed loss per job above it. */
     private static final double[] CONTENTION_THRESHOLDS_PER_CORE = {1, 1.25, 1.5, 2, 2.5, 3, 4, 6};
     private static final double[] LOSS_PER_JOB_RATIOS = {0, 0.02, 0.05, 0.08, 0.12, 0.16, 0.2, 0.3, 0.4, 0.6};
-    /** Latencies that a program may have of its own, in tenths of a millisecond. */
+    /** Candidate latencies of the program itself in a reading, during which it does not wait for a core. */
     private static final long[] READ_LATENCIES_TENTHS_MS = {0, 5, 10, 20, 40};
-    /** More rows than this make a curve no better. */
+    /** More rows do not improve the fitted curve. */
     private static final int MAX_CURVE_ROWS = 60_000;
-    /** As many must have come to a crowd before a curve is read from them. */
+    /** Rows that must have arrived under contention before a curve is fitted. */
     private static final int MIN_CONTENDED_ROWS = 60;
-    /** A difference in fit that chance may well make. */
+    /** Difference in score that random variation may well cause. */
     private static final double FIT_TOLERANCE = 2;
-    /** Starts further apart than this are not those of one start of the fleet, in tenths of a millisecond. */
+    /** Instances whose starts are further apart were not started together with the fleet. */
     private static final long START_SKEW_TENTHS_MS = 30_000;
     private static final int BIN_COUNT = 20;
-    /** Differences between bins that are of no account. */
+    /** Relative differences between bins below this ratio are negligible. */
     private static final double NEGLIGIBLE_DIFFERENCE_RATIO = 0.03;
-    /** Fewer rows than this in a bin say nothing of it. */
+    /** Bins with fewer rows are ignored. */
     private static final int MIN_BIN_ROWS = 15;
-    /** A relay whose works are this much off those of the others is slow, cold or of another speed. */
+    /** An instance whose readings differ by more than this ratio is slow, cold or of another speed. */
     private static final double OUTLIER_RATIO = 1.25;
-    /** Jobs for each core from which on a relay counts as crowded. */
+    /** Jobs per core above which an instance counts as contended. */
     private static final double CONTENDED_JOBS_PER_CORE = 3;
-    /** Runs and readings of one relay that its speed is judged by at least. */
+    /** Minimum number of readings of one instance for its speed to be compared. */
     private static final int MIN_OUTLIER_ROWS = 30;
 
     public final Fleet fleet;
-    public final Workload demand;
+    public final Workload workload;
     public final CaptureMerge merged;
     public final List<InputValue> values = new ArrayList<>();
     public final List<String> remarks = new ArrayList<>();
-    /** All tries for each first one, as estimated from the rows. */
+    /** Attempts per first attempt, estimated from the rows. */
     public final double attemptsPerExchange;
     private final List<Workload.RecordedRequest> firstAttempts;
     private final Fleet configuredFleet;
@@ -63,7 +65,7 @@
     private final Sample[] sizeSamples;
     private final Sample[] memorySamples;
 
-    /** Throws CaptureFault where the captures are not of this fleet or tell too little. */
+    /** Throws CaptureException if the captures are not of this fleet or contain too little. */
     public FittedModel(Fleet configuredFleet, List<Capture> captures) {
         this.configuredFleet = configuredFleet;
         merged = new CaptureMerge(captures);
@@ -77,7 +79,7 @@
         List<Group> groups = fitGroups(groupIndexes);
         double spanSeconds = (merged.to - merged.from) / 10_000.0;
         if (spanSeconds < 1) {
-            throw new CaptureException("the captures span " + spanSeconds + " s, a second at least is needed");
+            throw new CaptureException("the captures span " + spanSeconds + " s; at least one second is required");
         }
         double firstAttemptCount = merged.firstAttempts();
         attemptsPerExchange = merged.rows / firstAttemptCount;
@@ -91,8 +93,7 @@
                 InputValue.SOURCE_CAPTURE));
         LoadProfile profile = new LoadProfile(merged, scale);
         values.add(new InputValue("counts of half a second, variance for the mean", profile.dispersion,
-                profile.dispersion,
-                profile.dispersion, "", InputValue.SOURCE_CAPTURE));
+                profile.dispersion, profile.dispersion, "", InputValue.SOURCE_CAPTURE));
         Fleet.Subjects subjects = fitSubjects();
         for (Map.Entry<String, Sample> entry : readings.entrySet()) {
             addMeasured("reading, " + entry.getKey(), entry.getValue());
@@ -101,24 +102,26 @@
                 new Fleet.Load(loadPerSecond, 0, configuredFleet.load.period()), subjects);
         List<String> missing = fleet.missingValues();
         if (!missing.isEmpty()) {
-            throw new CaptureException("neither the captures nor the fleet file tell: " + String.join(", ", missing));
+            throw new CaptureException("missing from both the captures and the fleet file: "
+                    + String.join(", ", missing));
         }
-        demand = new CapturedDemand(fleet, merged, groupIndexes, profile, workSamples, sizeSamples, memorySamples);
+        workload = new CapturedWorkload(fleet, merged, groupIndexes, profile, workSamples, sizeSamples, memorySamples);
         firstAttempts = readFirstAttempts(groupIndexes);
         addConfigured();
     }
 
-    /** The captured demand with {@code factor} times as many first tries. */
+    /** The captured workload with {@code loadFactor} times as many first attempts. */
     public Workload scaledBy(double loadFactor) {
-        return ((CapturedDemand) demand).scaledBy(loadFactor);
+        return ((CapturedWorkload) workload).scaledBy(loadFactor);
     }
 
     /**
-     * The captured first tries one by one, as they came, for a plan of the very time that was captured; what was
-     * never run has its work drawn. {@link #demand} has their shape only, and is for any other time.
+     * Replays the captured first attempts one by one, for a plan of the captured period itself; exchanges that were
+     * never run get a random core time. For any other period use {@link #workload}, which has only their rate over
+     * time.
      */
     public Workload replay() {
-        return new ReplayedDemand(demand, firstAttempts);
+        return new ReplayedWorkload(workload, firstAttempts);
     }
 
     private List<Workload.RecordedRequest> readFirstAttempts(int[] groupIndexes) {
@@ -130,18 +133,18 @@
             }
             Capture capture = merged.captures.get(merged.capture[i]);
             int row = merged.row[i];
-            double work = Double.NaN;
+            double coreTime = Double.NaN;
             if (CoreTimeEstimator.hasRun(capture, row)) {
                 CoreTimeEstimator estimator = estimators.computeIfAbsent(capture.file.toString(), key -> {
                     MachineKind kind = configuredFleet.kind(capture.kind);
                     return curves.get(kind.name()).estimators(List.of(capture), kind).get(0);
                 });
-                work = Math.max(1, estimator.runCoreTime(capture, row));
+                coreTime = Math.max(1, estimator.runCoreTime(capture, row));
             }
             int stub = (int) Math.min(Integer.MAX_VALUE, capture.stub[row]);
             attempts.add(new Workload.RecordedRequest(merged.arrivedAt[i] - merged.from, stub,
-                    groupIndexes[capture.group[row]],
-                    capture.customer[row], capture.subject[row], capture.sizeKb[row], capture.bodyBytes[row], work));
+                    groupIndexes[capture.group[row]], capture.customer[row], capture.subject[row],
+                    capture.sizeKb[row], capture.bodyBytes[row], coreTime));
         }
         return attempts;
     }
@@ -154,7 +157,7 @@
         return samples;
     }
 
-    /** By group of the captures, its place in the fleet file. */
+    /** Maps each group index of the captures to its index in the fleet file. */
     private int[] mapGroups(List<Capture> captures) {
         List<String> names = captures.get(0).deployment.groupNames;
         int[] groupIndexes = new int[names.size()];
@@ -162,7 +165,7 @@
             groupIndexes[i] = configuredFleet.groups.stream().map(Group::name).toList().indexOf(names.get(i));
             if (groupIndexes[i] < 0) {
                 throw new CaptureException(captures.get(0).file + ": names group '" + names.get(i)
-                        + "', which the fleet file has not");
+                        + "', which is not in the fleet file");
             }
         }
         return groupIndexes;
@@ -174,16 +177,16 @@
                     .orElse(null);
             if (zone == null) {
                 throw new CaptureException(capture.file + ": is of zone '" + capture.zone
-                        + "', which the fleet file has not");
+                        + "', which is not in the fleet file");
             }
             if (configuredFleet.kinds.stream().noneMatch(each -> each.name().equals(capture.kind))) {
                 throw new CaptureException(capture.file + ": is of kind '" + capture.kind
-                        + "', which the fleet file has not");
+                        + "', which is not in the fleet file");
             }
             if (capture.deployment.deployment.cores != configuredFleet.kind(capture.kind).cores()) {
                 throw new CaptureException(capture.file + ": has " + capture.deployment.deployment.cores
-                        + " cores, kind '"
-                        + capture.kind + "' of the fleet file " + configuredFleet.kind(capture.kind).cores());
+                        + " cores; kind '" + capture.kind + "' of the fleet file has "
+                        + configuredFleet.kind(capture.kind).cores());
             }
         }
     }
@@ -192,20 +195,20 @@
         Set<String> names = new HashSet<>();
         captures.forEach(each -> names.add(each.name));
         if (names.size() > configuredFleet.instanceCount()) {
-            throw new CaptureException("the captures are of " + names.size() + " relays, the fleet file has "
+            throw new CaptureException("the captures are of " + names.size() + " instances, the fleet file has "
                     + configuredFleet.instanceCount());
         }
         if (names.size() < configuredFleet.instanceCount()) {
-            remarks.add("captured are " + names.size() + " of " + configuredFleet.instanceCount()
-                    + " relays: their load is taken to be that of all, in proportion");
+            remarks.add(names.size() + " of " + configuredFleet.instanceCount()
+                    + " instances were captured: their load is scaled up to the whole fleet");
         }
         return configuredFleet.instanceCount() / (double) names.size();
     }
 
-    // Work, reading and crowding.
+    // Core times, reading times and contention.
 
     private Map<String, Sample> fitKinds(List<Capture> captures, int[] groupIndexes) {
-        Map<String, Sample> readings = new java.util.LinkedHashMap<>();
+        Map<String, Sample> readings = new LinkedHashMap<>();
         for (MachineKind kind : configuredFleet.kinds) {
             List<Capture> kindCaptures = captures.stream().filter(each -> each.kind.equals(kind.name())).toList();
             if (kindCaptures.isEmpty()) {
@@ -215,7 +218,7 @@
                 }
                 continue;
             }
-            // A life that began under way began cold: it shows the warm-up and not what the kind is like.
+            // An instance that was started later started cold: it shows the warm-up, not the speed of its kind.
             long firstStart = kindCaptures.stream().mapToLong(each -> each.startedAt).min().orElse(0);
             List<Capture> warm = kindCaptures.stream().filter(each -> each.startedAt - firstStart < kind.warmUpTime()
                     + START_SKEW_TENTHS_MS).toList();
@@ -236,7 +239,7 @@
                     }
                 }
             }
-            // What waited for a start or for the garbage collector is no core time of the machine.
+            // Trimmed, because readings that waited for the start or the garbage collector are no core time.
             Sample trimmedReadings = readingSample.trimmed();
             readings.put(kind.name(), trimmedReadings);
             kinds.add(kind.with(trimmedReadings.count() == 0 ? kind.readingTime() : trimmedReadings.mean(),
@@ -245,7 +248,7 @@
         return readings;
     }
 
-    /** How a crowd slows the cores, and how long a reading waits for the program besides. */
+    /** Slowdown of the cores under contention, and how long a reading additionally waits for the program. */
     private record ContentionCurve(double threshold, double lossPerJob, long readLatency) {
         List<CoreTimeEstimator> estimators(List<Capture> captures, MachineKind kind) {
             List<CoreTimeEstimator> estimators = new ArrayList<>();
@@ -257,15 +260,15 @@
             return estimators;
         }
 
-        /** The part of the speed that is lost with so many jobs for each core. */
+        /** The share of the speed that is lost with this many jobs per core. */
         double lostSpeed(double jobsPerCore) {
             return jobsPerCore <= threshold ? 0 : 1 - 1 / (1 + lossPerJob * (jobsPerCore - threshold));
         }
     }
 
     /**
-     * The curve under which what a job is found to have got does not depend on how many there were as it began. Among
-     * those that explain the rows about as well the mildest is taken.
+     * Finds the curve under which the estimated core time of a job does not depend on the number of jobs when it
+     * started. Of the curves that fit about equally well, the one with the least slowdown is used.
      */
     private ContentionCurve fitContention(MachineKind kind, List<Capture> captures) {
         List<Capture> usedCaptures = new ArrayList<>();
@@ -279,9 +282,9 @@
         double maxJobsPerCore = 0;
         int contendedRows = 0;
         for (Capture each : usedCaptures) {
-            CoreTimeEstimator attained = new CoreTimeEstimator(each, kind, 0);
+            CoreTimeEstimator estimators = new CoreTimeEstimator(each, kind, 0);
             for (int i = 0; i < each.rows; i++) {
-                double jobsPerCore = attained.jobsPerCore(each.arrivedAt[i]);
+                double jobsPerCore = estimators.jobsPerCore(each.arrivedAt[i]);
                 maxJobsPerCore = Math.max(maxJobsPerCore, jobsPerCore);
                 contendedRows += jobsPerCore > CONTENDED_JOBS_PER_CORE ? 1 : 0;
             }
@@ -293,16 +296,16 @@
         List<Double> scores = new ArrayList<>();
         double bestScore = Double.MAX_VALUE;
         for (long readLatency : READ_LATENCIES_TENTHS_MS) {
-            List<CoreTimeEstimator> attained = new ContentionCurve(1, 0, readLatency).estimators(usedCaptures, kind);
+            List<CoreTimeEstimator> estimators = new ContentionCurve(1, 0, readLatency).estimators(usedCaptures, kind);
             for (double threshold : CONTENTION_THRESHOLDS_PER_CORE) {
                 for (double lossPerJob : LOSS_PER_JOB_RATIOS) {
                     if (lossPerJob == 0 && threshold > CONTENTION_THRESHOLDS_PER_CORE[0]) {
                         continue;
                     }
-                    for (CoreTimeEstimator each : attained) {
+                    for (CoreTimeEstimator each : estimators) {
                         each.applyContention(threshold, lossPerJob);
                     }
-                    double score = unevenness(usedCaptures, attained);
+                    double score = unevenness(usedCaptures, estimators);
                     bestScore = Math.min(bestScore, score);
                     candidates.add(new ContentionCurve(threshold, lossPerJob, readLatency));
                     scores.add(score);
@@ -330,24 +333,22 @@
         return mildest;
     }
 
-    /** What is taken for a kind of which hardly a relay was crowded. */
+    /** The curve for a kind whose instances were hardly ever contended. */
     private ContentionCurve unobservedContention(MachineKind kind) {
         boolean configured = !Double.isNaN(kind.contentionThreshold());
         double threshold = configured ? kind.contentionThreshold() : 1_000;
         double lossPerJob = configured ? kind.contentionLoss() : 0;
-        remarks.add("hardly a relay of kind '" + kind.name() + "' was crowded: " + (configured
-                ? "its crowding is that of the fleet file" : "it is taken to lose nothing by a crowd"));
+        remarks.add("instances of kind '" + kind.name() + "' were hardly ever contended: " + (configured
+                ? "the slowdown is that of the fleet file" : "no slowdown is assumed"));
         values.add(new InputValue("speed lost by " + kind.name() + " for each job past " + threshold + " a core",
-                lossPerJob, lossPerJob,
-                lossPerJob, "",
-                InputValue.SOURCE_FLEET_FILE_UNOBSERVED));
+                lossPerJob, lossPerJob, lossPerJob, "", InputValue.SOURCE_FLEET_FILE_UNOBSERVED));
         return new ContentionCurve(threshold, lossPerJob, 0);
     }
 
     /**
-     * How much what jobs are found to have got differs by the crowd that they began in, for what chance and
-     * unevenness of no account would give. A reading costs the same each time, and its middle is proof against the
-     * odd one that waited for something else than a core; a run is drawn, and goes by its mean.
+     * Measures how much the estimated core times differ between bins of jobs per core at the start, relative to random
+     * variation and negligible differences. All readings cost the same, so their median is used, which is robust
+     * against a few that waited for something other than a core; core times of runs vary, so their mean is used.
      */
     private double unevenness(List<Capture> captures, List<CoreTimeEstimator> estimators) {
         int groups = captures.get(0).deployment.groupNames.size();
@@ -401,7 +402,7 @@
         return (int) Math.min(BIN_COUNT - 1, 5 * Math.log1p(jobsPerCore));
     }
 
-    /** Relays whose works differ from all others are cold, slowed or of another speed: not what the kind is like. */
+    /** Finds instances that represent their kind; the others are cold, slowed down or of another speed. */
     private boolean[] findTypical(List<Capture> captures, List<CoreTimeEstimator> estimators) {
         double[] medians = new double[captures.size()];
         int[] rowCounts = new int[captures.size()];
@@ -426,12 +427,12 @@
                 excluded++;
                 remarks.add(captures.get(index).file.getFileName() + ": its readings take "
                         + Math.round(medians[index] / overallMedian * 100)
-                        + "% of what they take elsewhere; it is left out of the works");
+                        + "% of the time that they take elsewhere; it is excluded from the core times");
             }
         }
         if (2 * excluded > typical.length) {
             Arrays.fill(typical, true);
-            remarks.add("the relays differ too much in speed to leave any out");
+            remarks.add("the instances differ too much in speed to exclude any");
         }
         return typical;
     }
@@ -449,7 +450,7 @@
         return n == 0 ? 1 : sorted[n / 2];
     }
 
-    // Demand.
+    // Workload.
 
     private List<Group> fitGroups(int[] groupIndexes) {
         double[] attemptsByGroup = new double[configuredFleet.groups.size()];
@@ -471,8 +472,7 @@
             double share = attemptsByGroup[g] / total;
             double margin = 1.645 * Math.sqrt(share * (1 - share) / total);
             values.add(new InputValue("share of " + group.name(), share, Math.max(0, share - margin), share + margin,
-                    "",
-                    InputValue.SOURCE_CAPTURE));
+                    "", InputValue.SOURCE_CAPTURE));
             if (workSamples[g].count() > 0) {
                 addMeasured("work of " + group.name(), workSamples[g]);
                 values.add(new InputValue("spread of the work of " + group.name(),
@@ -480,12 +480,12 @@
                         workSamples[g].coefficientOfVariation(), "", InputValue.SOURCE_CAPTURE));
             }
             if (workSamples[g].count() == 0 && !Double.isNaN(group.coreTime())) {
-                Workload.ConfiguredWorkload configuredDemand =
+                Workload.ConfiguredWorkload configuredWorkload =
                         new Workload.ConfiguredWorkload(configuredFleet.withFitted(configuredFleet.kinds,
                         withDefaults(configuredFleet.groups), configuredFleet.load,
                         new Fleet.Subjects(1, 0)));
                 for (int i = 0; i < 1_000; i++) {
-                    workSamples[g].add(configuredDemand.coreTime(g, random));
+                    workSamples[g].add(configuredWorkload.coreTime(g, random));
                 }
                 values.add(InputValue.fromFleetFile("work of " + group.name(), group.coreTime() / 10, "ms"));
             }
@@ -509,7 +509,7 @@
                 InputValue.SOURCE_CAPTURE));
     }
 
-    /** How much the most popular subjects stand out: the slope of frequency over rank, both as logarithms. */
+    /** Fits the skew of the subjects: the slope of log frequency over log rank. */
     private Fleet.Subjects fitSubjects() {
         Map<Long, Integer> counts = new HashMap<>();
         for (int i = 0; i < merged.rows; i++) {
@@ -519,10 +519,9 @@
             }
         }
         if (counts.isEmpty()) {
-            remarks.add("no exchange names a subject");
+            remarks.add("no exchange has a subject");
             return configuredFleet.subjects.distinct() > 0 && !Double.isNaN(configuredFleet.subjects.skew())
-                    ? configuredFleet.subjects
-                    : new Fleet.Subjects(1, 0);
+                    ? configuredFleet.subjects : new Fleet.Subjects(1, 0);
         }
         List<Integer> sorted = new ArrayList<>(counts.values());
         sorted.sort((a, b) -> b - a);
@@ -550,7 +549,7 @@
             values.add(new InputValue("skew of subjects", skew, Math.max(0, skew - margin), skew + margin, "",
                     InputValue.SOURCE_CAPTURE));
         } else {
-            remarks.add("no subject came often enough to tell how skewed they are");
+            remarks.add("too few frequent subjects to estimate their skew");
             skew = Double.isNaN(skew) ? 0 : skew;
             values.add(new InputValue("skew of subjects", skew, skew, skew, "",
                     InputValue.SOURCE_FLEET_FILE_UNOBSERVED));
@@ -560,7 +559,7 @@
         return new Fleet.Subjects(Math.max(counts.size(), configuredFleet.subjects.distinct()), skew);
     }
 
-    /** What no row could tell. */
+    /** Adds the values that captured rows can't show. */
     private void addConfigured() {
         for (MachineKind kind : configuredFleet.kinds) {
             values.add(InputValue.fromFleetFile("cores of " + kind.name(), kind.cores(), ""));
@@ -571,9 +570,8 @@
         }
         for (Fleet.StubPool pool : configuredFleet.pools) {
             values.add(InputValue.fromFleetFile("stubs " + pool.name() + ": " + pool.balancing().name().toLowerCase()
-                    + ", retry "
-                    + pool.retry().name().toLowerCase() + ", part that heeds advice", pool.followsRetryAfterRatio(),
-                    ""));
+                    + ", retry " + pool.retry().name().toLowerCase() + ", part that heeds advice",
+                    pool.followsRetryAfterRatio(), ""));
         }
         values.add(InputValue.fromFleetFile("lag of the roster", configuredFleet.directoryDelays.reportLag() / 10_000.0,
                 "s"));
--- a/lab/src/main/java/vetchrill/planner/FleetSizer.java
+++ b/lab/src/main/java/vetchrill/planner/FleetSizer.java
@@ -11,13 +11,19 @@
 import vetchrill.fleet.Fault;
 import vetchrill.model.SimulationResult;
 
-/** How many relays a goal takes, by kind and zone: the cheapest that is found, and what one more or less would do. */
+/**
+ * Finds the number of instances that meets a goal, by kind and zone: the cheapest combination found, and the effect of
+ * one instance more or less.
+ */
 public final class FleetSizer {
+    /** Largest fleet that is simulated. */
     private static final int MAX_INSTANCES = 2_000;
+    /** A mix of two kinds has 1 to {@code MIX_STEPS - 1} parts of the count that suffices of the first kind alone. */
     private static final int MIX_STEPS = 4;
 
     /**
-     * A fleet of so many of each kind, and the service that the goal's load gets there, worst over what may be lost.
+     * The simulated service of a fleet with these counts at the load of the goal: the worst of the zone losses that
+     * the goal covers.
      */
     private record SizeResult(Map<String, Integer> countsByKind, double price, ConfidenceInterval service,
             String worstCase) {
@@ -37,12 +43,13 @@
         this.goal = goal;
     }
 
+    /** Searches all kinds and mixes of two kinds, and reports the cheapest fleet that meets the goal. */
     public Report find() {
-        Report report = new Report("Relays for " + goal.name());
+        Report report = new Report("Instances for " + goal.name());
         double loadPerSecond = inputs.loadPerSecond() * goal.loadFactor(inputs.loadPerSecond());
         report.addRemark(String.format(Locale.ROOT,
-                "wanted: %.1f%% of benefit within the SLO time at %.1f first tries a "
-                + "second%s", 100 * goal.service(), loadPerSecond, goal.anyZoneLost() ? ", any one zone lost"
+                "goal: %.1f%% of the benefit within the SLO time at %.1f first attempts per second%s",
+                100 * goal.service(), loadPerSecond, goal.anyZoneLost() ? ", any one zone lost"
                 : goal.zonesLost().isEmpty() ? "" : ", without " + String.join(" and ", goal.zonesLost())));
         List<SizeResult> sufficient = new ArrayList<>();
         for (Fleet.MachineKind kind : inputs.fleet.kinds) {
@@ -65,19 +72,17 @@
                     .max((a, b) -> Double.compare(a.service.mean(), b.service.mean()))
                     .orElseThrow();
             report.addRemark(String.format(Locale.ROOT,
-                    "no size up to %d relays meets it: the best found, %d relays, gets "
-                    + "%.3f", MAX_INSTANCES, highest.instanceCount(), highest.service.mean()));
+                    "no size up to %d instances meets the goal: the best found, %d instances, reaches %.3f",
+                    MAX_INSTANCES, highest.instanceCount(), highest.service.mean()));
         } else {
             addSizes(report, cheapest, sufficient);
         }
-        Report.Table table = report.addTable("All sizes that were played", "relays", "by kind", "price", "service",
-                "from",
+        Report.Table table = report.addTable("All simulated sizes", "relays", "by kind", "price", "service", "from",
                 "to", "worst with");
         resultsByCounts.values().stream().sorted((a, b) -> a.instanceCount() - b.instanceCount())
                 .forEach(result -> table.addRow(result.instanceCount(),
                 describe(result.countsByKind), result.price, result.service.mean(), result.service.low(),
-                result.service.high(),
-                        result.worstCase));
+                result.service.high(), result.worstCase));
         addChart(report);
         inputs.addTo(report);
         return report;
@@ -85,33 +90,28 @@
 
     private void addSizes(Report report, SizeResult cheapest, List<SizeResult> sufficient) {
         Fleet fleet = buildFleet(cheapest.countsByKind);
-        Report.Table table = report.addTable("Relays wanted", "zone", "relays");
+        Report.Table table = report.addTable("Instances needed", "zone", "relays");
         for (Zone zone : fleet.zones) {
             table.addRow(zone.name(), describe(zone.instancesByKind()));
         }
         table.addRow("all", describe(cheapest.countsByKind));
-        Report.Table alternatives = report.addTable("The cheapest of each way", "by kind", "relays", "price", "service",
-                "from",
-                "to");
+        Report.Table alternatives = report.addTable("Smallest sufficient size of each kind or mix", "by kind", "relays",
+                "price", "service", "from", "to");
         for (SizeResult result : sufficient) {
             alternatives.addRow(describe(result.countsByKind), result.instanceCount(), result.price,
-                    result.service.mean(), result.service.low(),
-                    result.service.high());
+                    result.service.mean(), result.service.low(), result.service.high());
         }
         String kind = cheapest.countsByKind.entrySet().stream().max(Map.Entry.comparingByValue()).orElseThrow()
                 .getKey();
-        Report.Table neighbours = report.addTable("One relay of kind " + kind + " less or more", "relays", "service",
-                "from",
-                "to",
-                "meets the goal");
+        Report.Table neighbours = report.addTable("One instance of kind " + kind + " less or more", "relays", "service",
+                "from", "to", "meets the goal");
         for (int offset = -1; offset <= 1; offset++) {
             Map<String, Integer> countsByKind = new LinkedHashMap<>(cheapest.countsByKind);
             countsByKind.merge(kind, offset, Integer::sum);
             if (countsByKind.values().stream().mapToInt(Integer::intValue).sum() > 0) {
                 SizeResult result = simulate(countsByKind);
                 neighbours.addRow(result.instanceCount(), result.service.mean(), result.service.low(),
-                        result.service.high(),
-                        result.service.mean() >= goal.service() ? "yes" : "no");
+                        result.service.high(), result.service.mean() >= goal.service() ? "yes" : "no");
             }
         }
         int minCount = cheapest.instanceCount();
@@ -132,12 +132,11 @@
             }
         }
         report.addRemark(String.format(Locale.ROOT,
-                "%d relays, from %d to %d as sure as nine in ten over %d seeds; the fleet "
-                + "has %d", cheapest.instanceCount(), minCount, maxCount, runner.seedCount,
-                inputs.fleet.instanceCount()));
+                "%d instances, %d to %d with 90%% confidence over %d seeds; the fleet has %d",
+                cheapest.instanceCount(), minCount, maxCount, runner.seedCount, inputs.fleet.instanceCount()));
     }
 
-    /** The fewest of a kind beside those given; null where even the most are not enough. */
+    /** The smallest sufficient count of a kind beside fixed counts of others; null if no count suffices. */
     private SizeResult findMinimum(Map<String, Integer> fixedCounts, String kind) {
         int insufficientCount = 0;
         int sufficientCount = Math.max(1, estimateCount());
@@ -147,7 +146,7 @@
             if (sufficientCount >= MAX_INSTANCES) {
                 return null;
             }
-            // What more relays don't help at all, many more don't either.
+            // Gives up when doubling the count no longer improves the service.
             SizeResult larger = simulate(withInstances(fixedCounts, kind,
                     Math.min(MAX_INSTANCES, sufficientCount * 2)));
             if (sufficientCount > 8 * estimateCount() && larger.service.mean() < sufficient.service.mean() + 0.002) {
@@ -170,7 +169,7 @@
         return sufficient;
     }
 
-    /** Of two kinds each: some of the one, and as few of the other as do. */
+    /** Adds mixes of two kinds: a fixed count of one, and the smallest sufficient count of the other. */
     private void addMixes(List<SizeResult> sufficient) {
         List<SizeResult> singleKind = List.copyOf(sufficient);
         for (SizeResult result : singleKind) {
@@ -187,6 +186,7 @@
         }
     }
 
+    /** The count that the work of the goal's load requires, without regard to random variation. */
     private int estimateCount() {
         double capacityPerInstance = inputs.fleet.capacity() / inputs.fleet.instanceCount();
         double requiredCapacity = inputs.loadPerSecond() * goal.loadFactor(inputs.loadPerSecond())
@@ -204,7 +204,7 @@
         return counts;
     }
 
-    /** Relays of each kind dealt out to the zones one by one. */
+    /** Distributes the instances of each kind to the zones in turn. */
     private Fleet buildFleet(Map<String, Integer> countsByKind) {
         List<Zone> zones = new ArrayList<>();
         int zoneCount = inputs.fleet.zones.size();
@@ -243,7 +243,7 @@
             Fleet caseFleet = lostZones.isEmpty() ? fleet : fleet.withFaults(
                     List.of(new Fault.ZoneLoss(runner.countedFrom, Long.MAX_VALUE, lostZones)));
             List<SimulationResult> runs = runner.simulate(caseFleet,
-                    inputs.demand(goal.loadFactor(inputs.loadPerSecond())));
+                    inputs.workload(goal.loadFactor(inputs.loadPerSecond())));
             ConfidenceInterval service = runner.meanService(runs);
             if (worstService == null || service.mean() < worstService.mean()) {
                 worstService = service;
@@ -259,13 +259,12 @@
         List<SizeResult> singleKind = resultsByCounts.values().stream()
                 .filter(result -> result.countsByKind.size() == 1)
                 .sorted((a, b) -> a.instanceCount() - b.instanceCount()).toList();
-        Report.Chart chart = report.addChart("Service by size", "relays", "benefit within the SLO time");
+        Report.Chart chart = report.addChart("Service by size", "instances", "benefit within the SLO time");
         for (Fleet.MachineKind kind : inputs.fleet.kinds) {
             List<SizeResult> ofKind = singleKind.stream().filter(result -> result.countsByKind.containsKey(kind.name()))
                     .toList();
-            chart.series()
-                    .add(new Report.Series(kind.name(), ofKind.stream().mapToDouble(SizeResult::instanceCount)
-                    .toArray(),
+            chart.series().add(new Report.Series(kind.name(),
+                    ofKind.stream().mapToDouble(SizeResult::instanceCount).toArray(),
                     ofKind.stream().mapToDouble(result -> result.service.mean()).toArray(),
                     ofKind.stream().mapToDouble(result -> result.service.low()).toArray(),
                     ofKind.stream().mapToDouble(result -> result.service.high()).toArray()));
--- a/lab/src/main/java/vetchrill/planner/LimitFinder.java
+++ b/lab/src/main/java/vetchrill/planner/LimitFinder.java
@@ -2,7 +2,9 @@
 
 import java.util.ArrayList;
 import java.util.Comparator;
+import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.function.ToDoubleFunction;
 import vetchrill.fleet.Fleet;
@@ -10,27 +12,31 @@
 import vetchrill.model.PeakUsage;
 import vetchrill.model.SimulationResult;
 
-/** Which limit is reached first, and at what load: the fleet is played at growing loads and watched for each. */
+/** Finds the load at which each limit of the fleet is reached, by simulating it at increasing loads. */
 public final class LimitFinder {
+    /** Simulated loads as multiples of the current load. */
     private static final double[] LOAD_FACTORS = {0.3, 0.5, 0.65, 0.8, 0.9, 1, 1.1, 1.2, 1.35, 1.5, 1.75, 2, 2.5};
 
-    /** By so much the laws may be off before the plan says so. */
+    /** Difference between the laws and the simulation above which the report mentions it. */
     private static final double LAWS_TOLERANCE = 0.05;
-    /** Where the load of now stands among them. */
+    /** Index of the current load in {@link #LOAD_FACTORS}. */
     private static final int CURRENT_LOAD_INDEX = 5;
 
-    /** What is watched: a limit is reached where {@code of} gets to {@code at}. */
+    /** A limit, reached when {@code metric} reaches {@code threshold}; {@code condition} describes that. */
     private record Limit(String name, String condition, double threshold, ToDoubleFunction<RunPair> metric) {
     }
 
-    /** The two runs of one load and seed: a steady one, and one with a relay that dies and a deploy. */
+    /** The two simulations of one load and seed: without faults, and with a crash and a rolling deploy. */
     private record RunPair(SimulationResult steady, SimulationResult disturbed, double rosterLoss) {
         PeakUsage peaks() {
             return steady.peakUsage();
         }
     }
 
-    /** One limit with the load at which it is reached, as a multiple of the load of now; NaN where it never was. */
+    /**
+     * A limit with the multiple of the current load at which it is reached, NaN if it is never reached, and its use at
+     * the current load as a ratio of the threshold.
+     */
     public record LimitResult(String name, String condition, ConfidenceInterval loadFactor, double currentUse) {
     }
 
@@ -72,7 +78,7 @@
         }
     }
 
-    /** Finds them, and leaves what it found so far where it is interrupted. */
+    /** Runs the simulations and reports the limits in the order in which they are reached. */
     public Report find() {
         Fleet steadyFleet = inputs.fleet;
         long deathAt = runner.countedFrom + 5_000;
@@ -81,8 +87,8 @@
         Fleet disturbedFleet = steadyFleet.withFaults(faults);
         List<List<RunPair>> runsByLoad = new ArrayList<>();
         for (double loadFactor : LOAD_FACTORS) {
-            List<SimulationResult> steadyRuns = runner.simulate(steadyFleet, inputs.demand(loadFactor));
-            List<SimulationResult> disturbedRuns = runner.simulate(disturbedFleet, inputs.demand(loadFactor));
+            List<SimulationResult> steadyRuns = runner.simulate(steadyFleet, inputs.workload(loadFactor));
+            List<SimulationResult> disturbedRuns = runner.simulate(disturbedFleet, inputs.workload(loadFactor));
             List<RunPair> runPairs = new ArrayList<>();
             for (int i = 0; i < steadyRuns.size(); i++) {
                 int fromSecond = (int) (deathAt / LoadProfile.SECOND_TENTHS_MS);
@@ -147,52 +153,53 @@
                         result.currentUse);
             }
         }
-        Report.Table comparison = report.addTable("Service by load: the model beside the first cut by operational laws",
+        Report.Table comparison = report.addTable("Service by load: simulation and operational laws",
                 "load, 1/s", "times the load of now", "service", "from", "to", "by laws", "apart");
-        Report.Chart chart = report.addChart("Service by load", "first tries a second", "benefit within the SLO time");
+        Report.Chart chart = report.addChart("Service by load", "first attempts per second",
+                "benefit within the SLO time");
         double[] x = new double[LOAD_FACTORS.length];
         double[][] y = new double[4][LOAD_FACTORS.length];
         double firstDifferingLoad = Double.MAX_VALUE;
         int worstIndex = 0;
         for (int i = 0; i < LOAD_FACTORS.length; i++) {
-            ConfidenceInterval result = services.get(i);
+            ConfidenceInterval service = services.get(i);
             x[i] = LOAD_FACTORS[i] * currentLoadPerSecond;
-            y[0][i] = result.mean();
-            y[1][i] = result.low();
-            y[2][i] = result.high();
+            y[0][i] = service.mean();
+            y[1][i] = service.low();
+            y[2][i] = service.high();
             y[3][i] = servicesByLaws.get(i);
-            double difference = servicesByLaws.get(i) - result.mean();
-            comparison.addRow(x[i], LOAD_FACTORS[i], result.mean(), result.low(), result.high(), servicesByLaws.get(i),
-                    difference);
-            if (Math.abs(difference) > LAWS_TOLERANCE + (result.high() - result.low())) {
+            double difference = servicesByLaws.get(i) - service.mean();
+            comparison.addRow(x[i], LOAD_FACTORS[i], service.mean(), service.low(), service.high(),
+                    servicesByLaws.get(i), difference);
+            if (Math.abs(difference) > LAWS_TOLERANCE + (service.high() - service.low())) {
                 firstDifferingLoad = Math.min(firstDifferingLoad, x[i]);
                 worstIndex = Math.abs(difference) > Math.abs(servicesByLaws.get(worstIndex) - services.get(worstIndex)
                         .mean()) ? i : worstIndex;
             }
         }
         if (firstDifferingLoad < Double.MAX_VALUE) {
-            report.addRemark(String.format(java.util.Locale.ROOT,
-                    "from %.0f 1/s on the laws and the model differ by more "
-                    + "than the laws' simplicity explains, most at %.0f 1/s: %.2f by laws, %.2f by the model; the laws "
-                    + "know no hot subjects, no lag of the roster, no order of the hold and nothing of what the module "
-                    + "advises", firstDifferingLoad, x[worstIndex], servicesByLaws.get(worstIndex),
-                    services.get(worstIndex).mean()));
+            report.addRemark(String.format(Locale.ROOT,
+                    "from %.0f 1/s on, the operational laws and the simulation differ by more than their "
+                    + "simplifications explain, most at %.0f 1/s: %.2f by the laws, %.2f by the simulation; the laws "
+                    + "ignore hot subjects, the lag of the roster, the order of the pending queue and the retry-after "
+                    + "delays of the overload controller", firstDifferingLoad, x[worstIndex],
+                    servicesByLaws.get(worstIndex), services.get(worstIndex).mean()));
         }
         chart.series().add(new Report.Series("model", x, y[0], y[1], y[2]));
         chart.series().add(new Report.Series("operational laws", x, y[3], null, null));
         OperationalLaws currentLaws = new OperationalLaws(inputs.fleet, currentLoadPerSecond);
         if (currentLaws.metastable) {
-            report.addRemark(String.format(java.util.Locale.ROOT,
-                    "by the laws, retries could hold this fleet down at the "
-                    + "load of now; %.0f%% of it shed would free it", 100 * currentLaws.shedShare));
+            report.addRemark(String.format(Locale.ROOT,
+                    "by the operational laws, retries could keep this fleet overloaded at the current load; "
+                    + "shedding %.0f%% of it would let the fleet recover", 100 * currentLaws.shedShare));
         }
         inputs.addTo(report);
         return report;
     }
 
-    /** For whoever reads them by name. */
+    /** The load factor at which each limit is reached, by the name of the limit. */
     public Map<String, ConfidenceInterval> loadFactorsByName() {
-        Map<String, ConfidenceInterval> loadFactors = new java.util.LinkedHashMap<>();
+        Map<String, ConfidenceInterval> loadFactors = new LinkedHashMap<>();
         results.forEach(result -> loadFactors.put(result.name, result.loadFactor));
         return loadFactors;
     }
--- a/lab/src/main/java/vetchrill/planner/LoadProfile.java
+++ b/lab/src/main/java/vetchrill/planner/LoadProfile.java
@@ -2,14 +2,15 @@
 
 import vetchrill.capture.CaptureMerge;
 
-/** First tries over time, as captured: a rate for each second, and how much more it jumps than chance would have it. */
+/** The captured rate of first attempts for each second, and its dispersion. */
 final class LoadProfile {
     static final int SECOND_TENTHS_MS = 10_000;
     private static final int HALF_SECOND_TENTHS_MS = 5_000;
 
-    /** First tries for each tenth of a millisecond. */
+    /** First attempts per tenth of a millisecond, by second. */
     final double[] rates;
     final double peakRate;
+    /** Variance to mean ratio of the counts per half second; 1 for a Poisson process. */
     final double dispersion;
 
     LoadProfile(CaptureMerge merged, double scale) {
@@ -28,7 +29,7 @@
         double countScale = merged.firstAttempts() / Math.max(1, observed) * scale;
         rates = new double[seconds];
         double maxRate = 0;
-        // A second of its own noise is no shape: each is drawn towards its neighbours.
+        // Smooths each second with its neighbours, to keep random variation out of the shape.
         for (int i = 0; i < seconds; i++) {
             double weightedSum = 0;
             double weightSum = 0;
@@ -49,7 +50,7 @@
         dispersion = meanCount == 0 ? 1 : variance / Math.max(1, halfSecondCounts.length - 1) / meanCount;
     }
 
-    /** Past what was captured it begins anew. */
+    /** The rate at a time; after the end of the capture it repeats from the start. */
     double rate(long time) {
         return rates[(int) (time / SECOND_TENTHS_MS % rates.length)];
     }
--- a/lab/src/main/java/vetchrill/planner/OperationalLaws.java
+++ b/lab/src/main/java/vetchrill/planner/OperationalLaws.java
@@ -6,36 +6,39 @@
 import vetchrill.fleet.Fleet.RetryPolicy;
 
 /**
- * The first cut, in a millisecond: utilisation, Erlang's and Little's laws, and the fixed points of load under retries.
- * With a try accepted with probability p and n tries at most, an exchange is completed with 1 - (1-p)^n after
- * (1 - (1-p)^n) / p tries; each try costs its reading, each completion its work, and the cores have so much time. A p
- * at which they have time to spare grows, one at which they have not shrinks: where both are so for one load, the
- * fleet can be held down by its own retries after the cause is gone.
+ * An analytic estimate that takes about a millisecond: utilisation, Erlang's and Little's laws, and the fixed points of
+ * load under retries. With acceptance probability p per attempt and at most n attempts, an exchange completes with
+ * probability 1 - (1-p)^n after (1 - (1-p)^n) / p attempts on average; each attempt costs its reading, each completion
+ * its work, and the core time per second is limited. While cores have spare time, p grows; while they are overloaded, p
+ * shrinks. Where one load has values of p of both kinds, the fleet is metastable: its own retries can keep it
+ * overloaded after the cause is gone.
  */
 public final class OperationalLaws {
     private static final int PROBABILITY_STEPS = 2_000;
-    /** Tries after which a stub that heeds has been told to give up. */
+    /** Attempts after which a stub that follows retry-after delays has been told to stop retrying. */
     private static final double COMPLIANT_MAX_ATTEMPTS = 2;
 
-    /** First tries a second, and core time a second and for each reading and each work, in tenths of a millisecond. */
+    /** First attempts per second. */
     public final double loadPerSecond;
+    /** Core time per second that the fleet has, in tenths of a millisecond. */
     public final double capacity;
+    /** Mean core time of a reading and of the work of an exchange, in tenths of a millisecond. */
     public final double readingTime;
     public final double workTime;
-    /** Tries that an exchange gets at most, in the mean of all stubs. */
+    /** Maximum number of attempts per exchange, averaged over all stubs. */
     public final double maxAttempts;
-    /** Core time asked for were every exchange tried once, for what there is. */
+    /** Core time required with one attempt per exchange, as a ratio of the capacity. */
     public final double utilisation;
-    /** What the fixed point says is completed, of all exchanges, and its tries for each. */
+    /** Share of the exchanges that complete at the fixed point, and attempts per exchange there. */
     public final double completedShare;
     public final double attemptsPerExchange;
-    /** {@link #completedShare}, or what is left by waiting alone where that is less, by benefit. */
+    /** {@link #completedShare}, or the share of the benefit that is not lost to waiting if that is lower. */
     public final double service;
-    /** Exchanges in the fleet at a time, by Little's law. */
+    /** Mean number of exchanges in progress in the fleet, by Little's law. */
     public final double meanInFlight;
-    /** A second, worse state holds itself at this load. */
+    /** Whether a second stable state, overloaded by retries, exists at this load. */
     public final boolean metastable;
-    /** Part of the load to be shed so that only the good state is left; 0 where there is no other. */
+    /** Share of the load to shed so that only the good state remains; 0 if there is no other state. */
     public final double shedShare;
 
     public OperationalLaws(Fleet fleet, double loadPerSecond) {
@@ -88,14 +91,15 @@
             double attempts = pool.retry() == RetryPolicy.NONE ? 1 : pool.retry() == RetryPolicy.LIMITED
                     ? pool.maxAttempts()
                     : Math.max(1, meanSloTime / (attemptTime + pool.retryPause()));
-            // Who heeds what it is told comes to be told to give up; the laws don't ask the module when.
+            // A stub that follows retry-after delays is eventually told to stop retrying; the laws approximate when,
+            // without consulting the overload controller.
             sum += (pool.followsRetryAfterRatio() * Math.min(attempts, COMPLIANT_MAX_ATTEMPTS)
                     + (1 - pool.followsRetryAfterRatio()) * attempts) * pool.count();
         }
         return sum / Math.max(1, fleet.stubCount());
     }
 
-    /** Part of the benefit that is lost to waiting at relays where nothing waits that would be late. */
+    /** Share of the benefit that is lost to waiting, at instances that reject exchanges which would be late. */
     private static double lateShare(Fleet fleet, double utilisation) {
         double lateBenefit = 0;
         double totalBenefit = 0;
@@ -112,8 +116,12 @@
     }
 
     /**
-     * The part that is turned away by {@code c} servers offered {@code a} servers' worth, where nobody waits longer
-     * than {@code patience} mean services: M/M/c with patience of one length, loads past the servers included.
+     * Share of arrivals that is rejected in an M/M/c queue with constant patience; also valid for loads above the
+     * number of servers.
+     *
+     * @param servers the number of servers, c
+     * @param offeredLoad the offered load in servers
+     * @param patience the longest wait, in mean service times
      */
     public static double rejectedShare(int servers, double offeredLoad, double patience) {
         double idleStates = 0;
@@ -130,7 +138,7 @@
         return rejected / (idleStates + waitingStates + rejected);
     }
 
-    /** Erlang's C: the probability that an arrival waits, with {@code c} servers offered {@code a} servers' worth. */
+    /** Erlang's C formula: the probability that an arrival waits, given an offered load in servers. */
     public static double erlangC(int servers, double offeredLoad) {
         if (offeredLoad >= servers) {
             return 1;
--- a/lab/src/main/java/vetchrill/planner/PlanInputs.java
+++ b/lab/src/main/java/vetchrill/planner/PlanInputs.java
@@ -5,17 +5,17 @@
 import vetchrill.fleet.Fleet;
 import vetchrill.model.Workload;
 
-/** What a plan is made from: the fleet whole, its demand, and where each of its figures comes from. */
+/** The inputs of a plan: the complete fleet, its workload, and the source of each value. */
 public final class PlanInputs {
     public final Fleet fleet;
-    /** Of the table that each answer ends with. */
-    public static final String TABLE_TITLE = "What this rests on";
+    /** Title of the table of inputs at the end of each report. */
+    public static final String TABLE_TITLE = "Inputs of this plan";
 
     private final FittedModel fittedModel;
     public final List<InputValue> values = new ArrayList<>();
     public final List<String> remarks = new ArrayList<>();
 
-    /** From the fleet file alone, which must tell everything. */
+    /** Takes all values from the fleet file, which must be complete. */
     public PlanInputs(Fleet fleet) {
         this.fleet = fleet;
         fittedModel = null;
@@ -27,14 +27,14 @@
         for (Fleet.MachineKind kind : fleet.kinds) {
             values.add(InputValue.fromFleetFile("reading, " + kind.name(), kind.readingTime() / 10, "ms"));
             values.add(InputValue.fromFleetFile("speed lost by " + kind.name() + " for each job past "
-                    + kind.contentionThreshold() + " a core",
-                    kind.contentionLoss(), ""));
+                    + kind.contentionThreshold() + " a core", kind.contentionLoss(), ""));
         }
         values.add(InputValue.fromFleetFile("first tries", fleet.load.perSecond(), "1/s"));
         values.add(InputValue.fromFleetFile("skew of subjects", fleet.subjects.skew(), ""));
-        remarks.add("no capture: everything is as the fleet file says");
+        remarks.add("no capture: all values are those of the fleet file");
     }
 
+    /** Takes the values that were fitted to captures, and the rest from the fleet file. */
     public PlanInputs(FittedModel fittedModel) {
         fleet = fittedModel.fleet;
         this.fittedModel = fittedModel;
@@ -42,18 +42,19 @@
         remarks.addAll(fittedModel.remarks);
     }
 
-    /** The demand with {@code factor} times as many first tries. */
-    public Workload demand(double loadFactor) {
+    /** The workload with {@code loadFactor} times as many first attempts. */
+    public Workload workload(double loadFactor) {
         return fittedModel == null
                 ? new Workload.ConfiguredWorkload(fleet.withLoad(fleet.load.perSecond() * loadFactor))
                 : fittedModel.scaledBy(loadFactor);
     }
 
+    /** First attempts per second at the current load. */
     public double loadPerSecond() {
         return fleet.load.perSecond();
     }
 
-    /** All that it rests on, as a table. */
+    /** Adds the table of inputs and the remarks on them to a report. */
     void addTo(Report report) {
         Report.Table table = report.addTable(TABLE_TITLE, "what", "value", "from", "to", "unit", "source");
         for (InputValue value : values) {
--- a/lab/src/main/java/vetchrill/planner/ReplayedDemand.java
+++ b/lab/src/main/java/vetchrill/planner/ReplayedWorkload.java
@@ -3,12 +3,12 @@
 import java.util.List;
 import vetchrill.model.Workload;
 
-/** The first tries of a capture one by one; only what it does not tell of them is drawn. */
-final class ReplayedDemand extends Workload.DelegatingWorkload {
+/** Replays the first attempts of a capture one by one; only values missing from the capture are random. */
+final class ReplayedWorkload extends Workload.DelegatingWorkload {
     private final List<RecordedRequest> firstAttempts;
 
-    ReplayedDemand(Workload demand, List<RecordedRequest> firstAttempts) {
-        super(demand);
+    ReplayedWorkload(Workload workload, List<RecordedRequest> firstAttempts) {
+        super(workload);
         this.firstAttempts = firstAttempts;
     }
 
--- a/lab/src/main/java/vetchrill/planner/Report.java
+++ b/lab/src/main/java/vetchrill/planner/Report.java
@@ -3,16 +3,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What is said to a question: remarks, tables and charts, to be shown as text, JSON or a page. */
+/** The result of one planning question: remarks, tables and charts. {@link ReportRenderer} writes it out. */
 public final class Report {
-    /** Cells are texts, or numbers that each showing rounds. */
+    /** Cells are strings, or numbers, which are rounded only when a table is rendered as text or HTML. */
     public record Table(String title, List<String> columns, List<List<Object>> rows) {
         public void addRow(Object... cells) {
             rows.add(List.of(cells));
         }
     }
 
-    /** One line of a chart; {@code low} and {@code high} hold it nine times of ten, or are null. */
+    /** One line of a chart; {@code low} and {@code high} are its 90% confidence limits, or null. */
     public record Series(String name, double[] x, double[] y, double[] low, double[] high) {
     }
 
@@ -23,7 +23,7 @@
     public final List<String> remarks = new ArrayList<>();
     public final List<Table> tables = new ArrayList<>();
     public final List<Chart> charts = new ArrayList<>();
-    /** What was asked for holds; false where a goal can't be met. */
+    /** Whether the plan meets its goal; true for reports without one. */
     public boolean goalMet = true;
 
     public Report(String title) {
@@ -42,6 +42,7 @@
         return chart;
     }
 
+    /** Adds a remark unless the report already has the same text. */
     public void addRemark(String text) {
         if (!remarks.contains(text)) {
             remarks.add(text);
--- a/lab/src/main/java/vetchrill/planner/ReportRenderer.java
+++ b/lab/src/main/java/vetchrill/planner/ReportRenderer.java
@@ -22,7 +22,7 @@
 import org.jfree.data.xy.YIntervalSeriesCollection;
 import org.jfree.svg.SVGGraphics2D;
 
-/** Shows answers as text, as JSON, or as one page with nothing outside of it. */
+/** Renders reports as plain text, as JSON, or as one self-contained HTML page. */
 public final class ReportRenderer {
     private static final ObjectMapper JSON = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
     private static final int CHART_WIDTH_PX = 860;
@@ -48,6 +48,7 @@
         return String.valueOf(value);
     }
 
+    /** Renders one report as plain text with aligned tables. */
     public static String toText(Report report) {
         StringBuilder text = new StringBuilder();
         text.append(report.title).append('\n').append("=".repeat(report.title.length())).append('\n');
@@ -77,6 +78,7 @@
         return text.toString();
     }
 
+    /** Renders reports as a JSON array; numbers are not rounded, NaN and infinite values become null. */
     public static String toJson(List<Report> reports) {
         ArrayNode reportNodes = JSON.createArrayNode();
         for (Report report : reports) {
@@ -114,6 +116,7 @@
         }
     }
 
+    /** Renders reports as an HTML page; charts are embedded as SVG. */
     public static String toHtml(String title, List<Report> reports) {
         StringBuilder html = new StringBuilder();
         html.append("<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>")
@@ -163,8 +166,7 @@
             for (int i = 0; i < series.x().length; i++) {
                 double y = series.y()[i];
                 intervalSeries.add(series.x()[i], y, series.low() == null ? y : series.low()[i],
-                        series.high() == null ? y
-                        : series.high()[i]);
+                        series.high() == null ? y : series.high()[i]);
             }
             data.addSeries(intervalSeries);
         }
--- a/lab/src/main/java/vetchrill/planner/Sample.java
+++ b/lab/src/main/java/vetchrill/planner/Sample.java
@@ -3,9 +3,10 @@
 import java.util.Arrays;
 import java.util.SplittableRandom;
 
-/** Values seen, and what can be said of their mean and spread. */
+/** Observed values, with estimates of their mean and dispersion. */
 final class Sample {
     private static final int BOOTSTRAP_RESAMPLES = 200;
+    /** Draws per resample; for larger samples the interval is scaled to the size of the sample. */
     private static final int MAX_DRAWS = 4_000;
 
     private double[] values = new double[64];
@@ -39,12 +40,12 @@
         return count < 2 ? 0 : sum / (count - 1);
     }
 
-    /** The spread for the mean. */
+    /** Standard deviation as a ratio of the mean. */
     double coefficientOfVariation() {
         return Math.sqrt(variance()) / mean();
     }
 
-    /** Where the mean lies nine times of ten, by drawing again from what was seen. */
+    /** The 90% bootstrap confidence interval of the mean, as its lower and upper limit. */
     double[] meanConfidenceInterval(SplittableRandom random) {
         if (count < 2) {
             return new double[] {mean(), mean()};
@@ -64,7 +65,7 @@
                 means[BOOTSTRAP_RESAMPLES - BOOTSTRAP_RESAMPLES / 20 - 1]};
     }
 
-    /** Without the tenth at either end. */
+    /** The sample without its lowest and highest tenth. */
     Sample trimmed() {
         double[] sorted = Arrays.copyOf(values, count);
         Arrays.sort(sorted);
@@ -75,6 +76,7 @@
         return inner;
     }
 
+    /** A random one of the values. */
     double draw(SplittableRandom random) {
         return values[random.nextInt(count)];
     }
--- a/lab/src/main/java/vetchrill/planner/SimulationRunner.java
+++ b/lab/src/main/java/vetchrill/planner/SimulationRunner.java
@@ -14,16 +14,16 @@
 import vetchrill.model.TimingWheelQueue;
 import vetchrill.model.FleetSimulation;
 
-/** Plays many worlds at once, each on one thread. What comes out hangs on the seeds alone, not on the threads. */
+/** Runs simulations in parallel, one thread each. Results depend on the seeds only, not on the number of threads. */
 public final class SimulationRunner implements AutoCloseable {
     private final ExecutorService executor;
     public final int seedCount;
-    /** What is counted of a run: from here on to the end of its span, in tenths of a millisecond. */
+    /** Length of a simulation, and the time from which its results count, in tenths of a millisecond. */
     public final long span;
     public final long countedFrom;
     private final Runnable progress;
 
-    /** {@code progress} is called after each world, on any thread. */
+    /** {@code progress} is called after each simulation, on any thread. */
     public SimulationRunner(int threadCount, int seedCount, long span, long countedFrom, Runnable progress) {
         this.executor = Executors.newFixedThreadPool(threadCount, work -> {
             Thread thread = new Thread(work, "sweep");
@@ -44,17 +44,17 @@
         return (int) (span / LoadProfile.SECOND_TENTHS_MS);
     }
 
-    /** One world for each seed. */
-    public List<SimulationResult> simulate(Fleet fleet, Workload demand) {
-        return simulate(fleet, demand, span);
+    /** Runs one simulation per seed. */
+    public List<SimulationResult> simulate(Fleet fleet, Workload workload) {
+        return simulate(fleet, workload, span);
     }
 
-    public List<SimulationResult> simulate(Fleet fleet, Workload demand, long span) {
-        return runTasks(seedCount, seed -> new FleetSimulation(fleet, demand, span, countedFrom, 1_000 + seed,
+    public List<SimulationResult> simulate(Fleet fleet, Workload workload, long span) {
+        return runTasks(seedCount, seed -> new FleetSimulation(fleet, workload, span, countedFrom, 1_000 + seed,
                 new TimingWheelQueue()).run());
     }
 
-    /** The results of {@code n} tasks in their order. */
+    /** Runs tasks 0 to {@code taskCount - 1} and returns their results in that order. */
     public <T> List<T> runTasks(int taskCount, IntFunction<T> task) {
         List<Future<T>> futures = new ArrayList<>();
         for (int i = 0; i < taskCount; i++) {
@@ -80,11 +80,10 @@
         return results;
     }
 
-    /** The service of each run over what is counted. */
+    /** The mean service over the counted part of the simulations. */
     public ConfidenceInterval meanService(List<SimulationResult> runs) {
         return ConfidenceInterval.ofShares(runs.stream()
-                .mapToDouble(run -> run.statistics().service(countedFromSecond(),
-                countedToSecond())).toArray());
+                .mapToDouble(run -> run.statistics().service(countedFromSecond(), countedToSecond())).toArray());
     }
 
     @Override
--- a/lab/src/main/java/vetchrill/planner/ZoneLossAnalysis.java
+++ b/lab/src/main/java/vetchrill/planner/ZoneLossAnalysis.java
@@ -8,32 +8,37 @@
 import vetchrill.fleet.Fault;
 import vetchrill.model.SimulationResult;
 
-/** What the loss of zones does: alone, in each phase of a rolling deploy, and with their return as a cold crowd. */
+/**
+ * Simulates the loss of zones: alone, in each phase of a rolling deploy, and followed by the return of all their
+ * instances cold.
+ */
 public final class ZoneLossAnalysis {
-    /** Seconds over which a fleet must be as good as before to count as back, and how good that is. */
+    /** A fleet has recovered once its service is at least this ratio of the target for this many seconds. */
     private static final int STEADY_SECONDS = 5;
     private static final double RECOVERED_RATIO = 0.95;
-    /** How long the cause lasts where it has an end, and how long it is waited for afterwards. */
+    /** How long the zones are lost where they return. */
     private static final long OUTAGE_TENTHS_MS = 15 * LoadProfile.SECOND_TENTHS_MS;
+    /** Time after the return within which the fleet must recover. */
     private static final int RECOVERY_WAIT_SECONDS = 45;
+    /** Candidate shares of the load to shed. */
     private static final double[] SHED_SHARES = {0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9};
 
     private final PlanInputs inputs;
     private final SimulationRunner runner;
     private final double loadFactor;
 
-    /** {@code load} as a multiple of that of now. */
+    /** {@code loadFactor} is the simulated load as a multiple of the current load. */
     public ZoneLossAnalysis(PlanInputs inputs, SimulationRunner runner, double loadFactor) {
         this.inputs = inputs;
         this.runner = runner;
         this.loadFactor = loadFactor;
     }
 
-    /** Each of these sets of zones is lost; each zone by itself where none is given. */
+    /** Analyses the loss of each of these sets of zones, or of each single zone if none is given. */
     public Report find(List<Set<String>> requestedSets) {
         Report report = new Report("What the loss of a zone does to " + inputs.fleet.name);
         report.addRemark(String.format(Locale.ROOT,
-                "played at %.1f first tries a second, %.0f%% of what the warm cores can do",
+                "simulated at %.1f first attempts per second, %.0f%% of the capacity of the warm cores",
                 inputs.loadPerSecond() * loadFactor,
                 100 * inputs.loadPerSecond() * loadFactor / inputs.fleet.fullLoad()));
         List<Set<String>> zoneSets = new ArrayList<>(requestedSets);
@@ -41,9 +46,8 @@
             inputs.fleet.zones.forEach(zone -> zoneSets.add(Set.of(zone.name())));
         }
         Report.Table table = report.addTable("Service when zones are lost, of all that is asked for from then on",
-                "lost", "when",
-                "before", "after", "from", "to", "worst 5 s", "relays that fell", "back by itself", "after, s",
-                "load to shed");
+                "lost", "when", "before", "after", "from", "to", "worst 5 s", "relays that fell",
+                "back by itself", "after, s", "load to shed");
         Report.Chart chart = report.addChart("Service second by second, the zone lost at 0", "seconds",
                 "benefit within the SLO time");
         for (Set<String> lostZones : zoneSets) {
@@ -60,7 +64,7 @@
     }
 
     private List<SimulationResult> simulate(List<Fault> faults, long span) {
-        return runner.simulate(inputs.fleet.withFaults(faults), inputs.demand(loadFactor), span);
+        return runner.simulate(inputs.fleet.withFaults(faults), inputs.workload(loadFactor), span);
     }
 
     private void addPermanentLoss(Set<String> lostZones, Report report, Report.Table table, Report.Chart chart) {
@@ -70,17 +74,17 @@
         int lossSecond = (int) (lossAt / LoadProfile.SECOND_TENTHS_MS);
         int endSecond = (int) (span / LoadProfile.SECOND_TENTHS_MS);
         double settledService = settledService(runs, endSecond);
-        // Back in what is left of the fleet: as good as that can be at this load.
+        // Recovered means as good as the remaining instances can be at this load.
         Recovery recovery = findRecovery(runs, lossSecond, endSecond, settledService);
         addRow(table, lostZones, "alone, for good", runs, lossSecond, endSecond, recovery, Double.NaN);
         chart.series().add(buildSeries(joinNames(lostZones) + ", for good", runs, lossSecond, endSecond));
         if (!recovery.allRecovered && settledService < RECOVERED_RATIO * serviceBefore(runs, lossSecond)) {
             report.addRemark("without " + joinNames(lostZones)
-                    + " the fleet has too little for this load, however long one waits");
+                    + " the fleet has too little capacity for this load and does not recover");
         }
     }
 
-    /** The level that the last seconds of a run have come to. */
+    /** Mean service in the last seconds of the runs. */
     private double settledService(List<SimulationResult> runs, int endSecond) {
         return ConfidenceInterval.of(runs.stream()
                 .mapToDouble(run -> run.statistics().service(endSecond - 2 * STEADY_SECONDS, endSecond)).toArray())
@@ -108,7 +112,7 @@
         String worstPhase = "";
         Fault worstLoss = null;
         Recovery worstRecovery = null;
-        // All batches of a small deploy, and as many of a large one as show its beginning, middle and end.
+        // All batches of a small deploy; of a large one, enough to show its beginning, middle and end.
         int batchStep = Math.max(1, batches / 6);
         for (int batch = 0; batch < batches; batch += batchStep) {
             for (int phase = 0; phase < phaseOffsets.length; phase++) {
@@ -116,7 +120,7 @@
                 long span = Math.max(lossAt, deployEnd) + 25L * LoadProfile.SECOND_TENTHS_MS;
                 Fault loss = new Fault.ZoneLoss(lossAt, Long.MAX_VALUE, lostZones);
                 if (Double.isNaN(targetService)) {
-                    // What is left without the zone, once all else is over, is as good as it gets.
+                    // The target is the service without the zone and without the deploy.
                     targetService = settledService(simulate(List.of(loss), span),
                             (int) (span / LoadProfile.SECOND_TENTHS_MS));
                 }
@@ -143,9 +147,9 @@
             long recoveryStart = Math.max(worstLoss.from(), deployEnd);
             double shedShare = minShedShare(List.of(deploy, worstLoss), recoveryStart,
                     recoveryStart + 25L * LoadProfile.SECOND_TENTHS_MS, targetService);
-            report.addRemark("there the fleet does not come back by itself once the deploy is over"
+            report.addRemark("there the fleet does not recover by itself after the deploy"
                     + (Double.isNaN(shedShare)
-                    ? ", nor with nine tenths of the load shed" : "; it does with " + Math.round(100 * shedShare)
+                    ? ", nor with 90% of the load shed" : "; it recovers with " + Math.round(100 * shedShare)
                     + "% of the load shed from then on"));
         }
     }
@@ -164,33 +168,31 @@
         double shedShare = recovery.allRecovered ? 0 : minShedShare(List.of(loss), returnAt, span, serviceBefore);
         addRow(table, lostZones, "and back cold after " + OUTAGE_TENTHS_MS / LoadProfile.SECOND_TENTHS_MS + " s", runs,
                 lossSecond, endSecond, recovery, shedShare);
-        chart.series()
-                .add(buildSeries(joinNames(lostZones) + ", back after " + OUTAGE_TENTHS_MS
-                / LoadProfile.SECOND_TENTHS_MS + " s", runs, lossSecond, endSecond));
+        chart.series().add(buildSeries(joinNames(lostZones) + ", back after "
+                + OUTAGE_TENTHS_MS / LoadProfile.SECOND_TENTHS_MS + " s", runs, lossSecond, endSecond));
         if (!recovery.allRecovered) {
             report.addRemark(joinNames(lostZones)
-                    + (Double.isNaN(shedShare) ? ": with nine tenths of the load shed the fleet is still not "
-                    + "back " : ": the fleet does not come back by itself; it does with "
+                    + (Double.isNaN(shedShare) ? ": even with 90% of the load shed the fleet does not recover "
+                    : ": the fleet does not recover by itself; it recovers with "
                     + Math.round(100 * shedShare) + "% of the load shed from the return on, ") + "within "
                     + RECOVERY_WAIT_SECONDS + " s");
         }
     }
 
-    /** The least part of the load that, shed from the return on, brings all runs back in time; NaN where none does. */
+    /** The smallest share of the load to shed from {@code shedFrom} on so that all runs recover; NaN if none does. */
     private double minShedShare(List<Fault> faults, long shedFrom, long span, double targetService) {
         for (double share : SHED_SHARES) {
             List<Fault> faultsWithShedding = new ArrayList<>(faults);
             faultsWithShedding.add(new Fault.Burst(shedFrom, Long.MAX_VALUE / 2, 1 - share));
             if (findRecovery(simulate(faultsWithShedding, span), (int) (shedFrom / LoadProfile.SECOND_TENTHS_MS),
-                    (int) (span / LoadProfile.SECOND_TENTHS_MS),
-                    targetService).allRecovered) {
+                    (int) (span / LoadProfile.SECOND_TENTHS_MS), targetService).allRecovered) {
                 return share;
             }
         }
         return Double.NaN;
     }
 
-    /** Whether all runs come back to a level, and how long after the cause they do in the mean. */
+    /** Whether all runs recover, how many do, and their mean delay after the end of the cause. */
     private record Recovery(boolean allRecovered, int recoveredRuns, ConfidenceInterval delaySeconds) {
     }
 
@@ -215,8 +217,7 @@
     }
 
     private void addRow(Report.Table table, Set<String> lostZones, String scenario, List<SimulationResult> runs,
-            int lossSecond, int endSecond, Recovery recovery,
-            double shedShare) {
+            int lossSecond, int endSecond, Recovery recovery, double shedShare) {
         ConfidenceInterval service = serviceAfter(runs, lossSecond, endSecond);
         double worstService = runs.stream().mapToDouble(run -> run.statistics().worstService(STEADY_SECONDS, lossSecond,
                 endSecond)).min().orElse(Double.NaN);
--- a/lab/src/test/java/vetchrill/planner/PlanTest.java
+++ b/lab/src/test/java/vetchrill/planner/PlanTest.java
@@ -36,7 +36,7 @@
         return Goal.read(ConfigBlock.parse("g.hcl", "goal \"g\" {\n" + text + "}\n"), fleet).get(0);
     }
 
-    /** Four relays of two cores and 50 ms an exchange carry 160 a second; 100 a second is 62% of that. */
+    /** Four instances with two cores and 50 ms per exchange can serve 160/s; 100/s is 62% of that. */
     public void coresAreTheFirstLimitAndMarginIsTheRemainder() {
         LimitFinder finder = new LimitFinder(new PlanInputs(fleet(2, 100, "none", 10)), newRunner(12));
         Report report = finder.find();
@@ -47,26 +47,27 @@
         assertTrue(ReportRenderer.toText(report).contains("cores of the fleet"));
     }
 
-    /** 150 a second of 50 ms are 7.5 cores: four relays of two at least, and hardly more than six. */
+    /** 150/s at 50 ms need 7.5 cores: at least four instances with two cores, and no more than six. */
     public void sizeMatchesTheWorkOfTheLoad() {
         Fleet fleet = fleet(1, 150, "none", 10);
         Report report = new FleetSizer(new PlanInputs(fleet), newRunner(8), goal(fleet, " service = 0.9\n")).find();
         assertTrue(report.goalMet);
-        Report.Table wanted = report.tables.get(1);
-        int relays = (Integer) wanted.rows().get(0).get(1);
-        assertTrue(relays >= 4 && relays <= 6, "relays " + relays);
-        assertEquals(report.tables.get(0).rows().get(2).get(1), relays + " k", "the dear kind does no more");
+        Report.Table allSizes = report.tables.get(1);
+        int instances = (Integer) allSizes.rows().get(0).get(1);
+        assertTrue(instances >= 4 && instances <= 6, "instances " + instances);
+        assertEquals(report.tables.get(0).rows().get(2).get(1), instances + " k",
+                "the expensive kind has no more capacity");
     }
 
     public void zoneLossGoalNeedsMoreInstances() {
         Fleet fleet = fleet(1, 150, "limited", 10);
         Report report = new FleetSizer(new PlanInputs(fleet), newRunner(8),
                 goal(fleet, " service = 0.85\n any_zone_lost = true\n")).find();
-        int relays = (Integer) report.tables.get(1).rows().get(0).get(1);
-        assertTrue(relays >= 8 && relays <= 13, "relays " + relays);
+        int instances = (Integer) report.tables.get(1).rows().get(0).get(1);
+        assertTrue(instances >= 8 && instances <= 13, "instances " + instances);
     }
 
-    /** Works of 40 ms can't be done within 5: no number of relays helps, and the answer says so. */
+    /** Work of 40 ms can't complete within 5 ms: no number of instances helps, and the report says so. */
     public void unreachableGoalIsReported() {
         Fleet fleet = FleetFileReader.read(ConfigBlock.parse("f.hcl",
                 "kind \"k\" {\n cores = 1\n reading_ms = 1\n crowd_from = 9\n"
@@ -89,7 +90,7 @@
                     "g.hcl:3: zones_lost: 'c' is no zone of the fleet, which has a, b"));
             return;
         }
-        throw new AssertionError("taken as it is");
+        throw new AssertionError("the invalid goal was accepted");
     }
 
     public void zoneLossIsReportedAloneInDeployAndWithReturn() {
@@ -98,18 +99,18 @@
         Report.Table table = report.tables.get(0);
         assertEquals(table.rows().size(), 1 + 2 * 3 + 1);
         assertEquals(table.rows().get(0).get(1), "alone, for good");
-        double alone = (Double) table.rows().get(0).get(3);
-        assertTrue(alone > 0.9, "60 a second fit in 80: " + alone);
-        List<Object> back = table.rows().get(7);
-        assertEquals(back.get(8), "yes", back.toString());
+        double serviceAfterLoss = (Double) table.rows().get(0).get(3);
+        assertTrue(serviceAfterLoss > 0.9, "60/s fit into the remaining capacity of 80/s: " + serviceAfterLoss);
+        List<Object> returnRow = table.rows().get(7);
+        assertEquals(returnRow.get(8), "yes", returnRow.toString());
         assertTrue(report.remarks.stream().anyMatch(each -> each.contains("is worst with batch")));
     }
 
-    /** Readings as dear as half a work and stubs that try for ever: what is past the cause, retries keep up. */
+    /** With readings that cost half as much as the work, unlimited retries alone can keep the fleet overloaded. */
     public void unlimitedRetriesMakeTheFleetMetastable() {
         OperationalLaws laws = new OperationalLaws(fleet(2, 70, "unlimited", 25), 70);
         assertTrue(laws.utilisation < 1 && laws.metastable, "utilisation " + laws.utilisation);
-        assertTrue(laws.shedShare > 0.2 && laws.shedShare < 1, "shed " + laws.shedShare);
+        assertTrue(laws.shedShare > 0.2 && laws.shedShare < 1, "shed share " + laws.shedShare);
         assertFalse(new OperationalLaws(fleet(2, 70, "none", 25), 70).metastable);
     }
 
--- a/lab/src/test/java/vetchrill/tool/PlannedAgainstMeasuredTest.java
+++ b/lab/src/test/java/vetchrill/tool/PlannedAgainstMeasuredTest.java
@@ -14,7 +14,9 @@
 import vetchrill.planner.ConfidenceInterval;
 import vetchrill.planner.SimulationRunner;
 
-/** A run of the proof at 110% of capacity, kept: what its stubs counted, against what a plan makes of its captures. */
+/**
+ * Compares plans from the stored captures of a run at 110% of capacity with the service that its stubs measured.
+ */
 @Test
 public class PlannedAgainstMeasuredTest {
     private static final double MEASURED_SERVICE = 0.866;
@@ -45,14 +47,14 @@
         assertEquals(model.fleet.groups.get(0).requestShare(), 0.68, 0.04);
     }
 
-    /** What a plan may not say of the capture it was made from: that a load half as high is late. */
+    /** Guards against a plan that keeps the lateness of the captured load when it is asked for a lower one. */
     public void planForAnotherLoadUsesTheSameCapture() {
         FittedModel model = fitModel();
         try (SimulationRunner runner = new SimulationRunner(4, 3, 180_000, 50_000, () -> { })) {
             assertTrue(runner.meanService(runner.simulate(model.fleet, model.scaledBy(0.6))).mean() > 0.99);
             assertTrue(runner.meanService(runner.simulate(model.fleet.withFaults(List.of(new Fault.Burst(0, 180_000,
                     2))),
-                    model.demand)).mean() < 0.6);
+                    model.workload)).mean() < 0.6);
         }
     }
 
@@ -62,10 +64,10 @@
         try {
             new FittedModel(other, Capture.readAll(Path.of("src/test/resources/captures/full")));
         } catch (vetchrill.capture.CaptureException e) {
-            assertTrue(e.getMessage().endsWith("is of zone 'isafjordur', which the fleet file has not"),
+            assertTrue(e.getMessage().endsWith("is of zone 'isafjordur', which is not in the fleet file"),
                     e.getMessage());
             return;
         }
-        throw new AssertionError("taken as it is");
+        throw new AssertionError("captures of an unknown zone were accepted");
     }
 }
