--- a/fuzz/src/main/java/vetchrill/fuzz/CoverageProbes.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/CoverageProbes.java
@@ -4,9 +4,11 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** The probes of instrumented classes: which places of the product an input has come to. */
+/** Coverage of the instrumented classes: which of their probes have been reached. */
 public final class CoverageProbes {
+    /** Probes reached by the input that is running, an array for each class. */
     private static final List<boolean[]> CURRENT = new ArrayList<>();
+    /** Probes reached by any input since the last reset. */
     private static final List<boolean[]> COVERED = new ArrayList<>();
     private static int coveredCount;
     private static int probeCount;
@@ -14,7 +16,7 @@
     private CoverageProbes() {
     }
 
-    /** Called by each instrumented class when it is first used. */
+    /** Called by the code of each instrumented class when it is initialized; returns its probes. */
     public static synchronized boolean[] of(String className, int probesInClass) {
         boolean[] probes = new boolean[probesInClass];
         CURRENT.add(probes);
@@ -23,7 +25,10 @@
         return probes;
     }
 
-    /** Whether the input that was just run came to a place where none had come; then starts anew. */
+    /**
+     * Returns whether the input that has just run has reached a probe that no earlier one has; clears the probes for
+     * the next input.
+     */
     static synchronized boolean collectNewCoverage() {
         int coveredBefore = coveredCount;
         for (int i = 0; i < CURRENT.size(); i++) {
--- a/fuzz/src/main/java/vetchrill/fuzz/FaultsCommand.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/FaultsCommand.java
@@ -19,11 +19,13 @@
 import vetchrill.files.Folders;
 import vetchrill.fuzz.Fuzzer.Strategy;
 
-/** Does fuzzing find anything? Faults are planted one by one, apart from the product, and looked for. */
+/**
+ * Mutation testing of the fuzzer: plants known faults one by one in a copy of the product and measures which it finds.
+ */
 @Command(name = "faults", mixinStandardHelpOptions = true,
-        description = "Plant each fault of a folder in a copy of the product and see whether it is found.")
+        description = "Plant each fault of a folder in a copy of the product and check whether fuzzing finds it.")
 final class FaultsCommand implements Callable<Integer> {
-    /** One fault: why it is one, the file it is in, what stands there, and what is put in its place. */
+    /** A fault file: a description, the path of a source file, the text to replace in it and the replacement. */
     record Fault(String name, String description, Path file, String original, String replacement) {
         static Fault read(Path path) throws IOException {
             String text = Files.readString(path);
@@ -33,8 +35,8 @@
             int to = text.indexOf("\n>>>>", middle);
             if (from < 0 || middle < 0 || to < 0) {
                 throw new vetchrill.tool.UsageException(path
-                        + ": should be a line that says why, a file, and what is replaced by "
-                        + "what between <<<<, ==== and >>>>");
+                        + ": expected a line that describes the fault, the path of a source file, "
+                        + "and the original and the replacement between <<<<, ==== and >>>>");
             }
             String name = path.getFileName().toString().replace(".fault", "");
             return new Fault(name, head[0], Path.of(head[1]), text.substring(from + 5, middle),
@@ -42,28 +44,30 @@
         }
     }
 
-    @Option(names = "--folder", description = "Where the faults are (fuzz/faults).")
+    @Option(names = "--folder", description = "Folder of the faults (fuzz/faults).")
     private Path folder = Path.of("fuzz/faults");
 
-    @Option(names = "--seconds", defaultValue = "10", description = "Of fuzzing for each fault (${DEFAULT-VALUE}).")
+    @Option(names = "--seconds", defaultValue = "10",
+            description = "Seconds of fuzzing for each fault (${DEFAULT-VALUE}).")
     private double shortSeconds;
 
-    @Option(names = "--long", defaultValue = "0", description = "Of fuzzing for those that were not found by then.")
+    @Option(names = "--long", defaultValue = "0",
+            description = "Seconds of further fuzzing for each fault that was not found by then.")
     private double longSeconds;
 
-    @Option(names = "--random", description = "Random bytes alone as well, for as long.")
+    @Option(names = "--random", description = "Measure fuzzing with random bytes alone as well, with the same time.")
     private boolean alsoRandom;
 
-    @Option(names = "--seed", defaultValue = "1", description = "Of all that is drawn (${DEFAULT-VALUE}).")
+    @Option(names = "--seed", defaultValue = "1", description = "Seed of all random numbers (${DEFAULT-VALUE}).")
     private long seed;
 
-    @Option(names = "--only", description = "Faults whose name has this in it.")
+    @Option(names = "--only", description = "Only faults whose name contains this.")
     private String only;
 
-    @Option(names = "--beside", description = "Looked for at once; all cores where not given.")
+    @Option(names = "--beside", description = "Number of faults to fuzz at the same time (number of cores).")
     private int parallelism = Runtime.getRuntime().availableProcessors();
 
-    /** What came out, for whoever asks after the call. */
+    /** Results, set by {@link #call}. */
     int planted;
     int found;
     int foundLong;
@@ -128,6 +132,7 @@
         }
     }
 
+    /** Fuzzes the product with one fault; returns whether the fault was found. */
     private interface FaultTrial {
         boolean run(Fault fault) throws IOException, InterruptedException;
     }
@@ -149,12 +154,13 @@
         return results;
     }
 
-    /** Compiles the one file with the fault in it against the product as it is. */
+    /** Compiles the one source file that contains the fault against the unchanged product. */
     private static void compile(Fault fault, Path outputFolder) throws IOException {
         String source = Files.readString(fault.file);
         int offset = source.indexOf(fault.original);
         if (offset < 0 || source.indexOf(fault.original, offset + 1) >= 0) {
-            throw new vetchrill.tool.UsageException("fault " + fault.name + ": what it replaces should stand once in "
+            throw new vetchrill.tool.UsageException("fault " + fault.name
+                    + ": the text to replace should occur once in "
                     + fault.file);
         }
         Path faultySource = outputFolder.resolve("source").resolve(fault.file.getFileName());
@@ -176,7 +182,7 @@
         List<String> command = new ArrayList<>(List.of(System.getProperty("java.home") + "/bin/java",
                 "-XX:+UseSerialGC", "-Xmx400m", "--add-opens=java.base/java.nio=ALL-UNNAMED", "-cp",
                 System.getProperty("java.class.path"), "vetchrill.tool.Vetchrill", "fuzz"));
-        // What simulates the same package for good is told by the name or the place; a parser's may show anywhere.
+        // The target follows from the package or from the prefix of the name; without one, all targets are fuzzed.
         String path = fault.file.toString();
         String targetName = path.contains("/routing/") || path.contains("/transport/") ? "chain"
                 : path.contains("/control/") ? "module"
@@ -190,8 +196,7 @@
                 strategy.name(),
                 "--found", workFolder.resolve(fault.name).resolve("found").toString()));
         Process process = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(out.toFile()).start();
-        // A fault may make the product go round in circles, which no oracle inside of it can see: that is found as
-        // well.
+        // A fault may cause an endless loop, which no oracle in the same process can detect: it counts as found.
         if (!process.waitFor((long) (seconds * 2 + 30), TimeUnit.SECONDS)) {
             process.destroyForcibly();
             return true;
--- a/fuzz/src/main/java/vetchrill/fuzz/FuzzCommand.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/FuzzCommand.java
@@ -15,49 +15,50 @@
 import vetchrill.tool.ToolCommand;
 
 @Command(name = "fuzz", mixinStandardHelpOptions = true,
-        description = "Feed parsers, the decision module and the whole chain what nobody would send, and "
-                + "watch what must "
-                + "hold. Exit code 1 where something is found, with the command that plays it again.",
+        description = "Fuzz the parsers, the decision module and the whole chain, and check their "
+                + "invariants. "
+                + "Exit code 1 if there are findings, with the commands that replay them.",
         subcommands = {FuzzCommand.ListCommand.class, FuzzCommand.ReplayCommand.class,
             FuzzCommand.MinimiseCommand.class, FaultsCommand.class,
             LifeCommand.class, MeasureFuzzCommand.class})
 public final class FuzzCommand implements Callable<Integer>, ToolCommand {
     static final Path CORPUS = Path.of("fuzz/corpus");
 
-    @Parameters(index = "0", arity = "0..1", paramLabel = "TARGET", description = "One target; all where not given.")
+    @Parameters(index = "0", arity = "0..1", paramLabel = "TARGET", description = "One target (all targets).")
     private String targetName;
 
-    @Option(names = "--seconds", defaultValue = "60", description = "Time in all (${DEFAULT-VALUE}).")
+    @Option(names = "--seconds", defaultValue = "60", description = "Total time in seconds (${DEFAULT-VALUE}).")
     private double seconds;
 
-    @Option(names = "--executions", description = "So many inputs for each target, however long that takes.")
+    @Option(names = "--executions", description = "Number of inputs for each target, however long they take.")
     private Long executions;
 
-    @Option(names = "--seed", defaultValue = "1", description = "Of all that is drawn (${DEFAULT-VALUE}).")
+    @Option(names = "--seed", defaultValue = "1", description = "Seed of all random numbers (${DEFAULT-VALUE}).")
     private long seed;
 
-    @Option(names = "--way", defaultValue = "GUIDED", description = "${COMPLETION-CANDIDATES} (${DEFAULT-VALUE}).")
+    @Option(names = "--way", defaultValue = "GUIDED",
+            description = "How inputs are made: ${COMPLETION-CANDIDATES} (${DEFAULT-VALUE}).")
     private Fuzzer.Strategy strategy;
 
-    @Option(names = "--corpus", description = "Inputs to start from, a folder for each target (fuzz/corpus).")
+    @Option(names = "--corpus", description = "Initial inputs, with a folder for each target (fuzz/corpus).")
     private Path corpusFolder = CORPUS;
 
-    @Option(names = "--found", description = "Where findings are left (fuzz/found).")
+    @Option(names = "--found", description = "Folder for the inputs of findings (fuzz/found).")
     private Path findingsFolder = Path.of("fuzz/found");
 
     @Option(names = "--product", paramLabel = "FOLDER", hidden = true,
-            description = "Classes that go before those of the product.")
+            description = "Classes that replace those of the product.")
     private Path productFolder;
 
-    @Option(names = "--first", hidden = true, description = "Ends at the first finding, whatever its input.")
+    @Option(names = "--first", hidden = true, description = "Stop at the first finding, without minimising its input.")
     private boolean stopAtFirst;
 
-    /** What came out, for whoever asks after the call. */
+    /** Results, set by {@link #call}. */
     long totalExecutions;
     double elapsedSeconds;
     int findingCount;
 
-    @Option(names = "--keep", description = "Inputs that come to new places are added to the corpus, distilled.")
+    @Option(names = "--keep", description = "Add the smallest inputs that reach new probes to the corpus.")
     private boolean extendCorpus;
 
     @Override
@@ -68,7 +69,7 @@
         long startNs = System.nanoTime();
         for (int i = 0; i < targets.size(); i++) {
             Target target = targets.get(i);
-            // The chain and the module are most of what there is to find: half of the time is theirs.
+            // The chain and the decision module get half of the time, since most faults are to be found there.
             long targetStartNs = System.nanoTime();
             double secondsLeft = seconds - (targetStartNs - startNs) / 1e9;
             long deadlineNs = executions != null ? Long.MAX_VALUE
@@ -77,7 +78,7 @@
             Fuzzer.Result result = fuzzer.run(executions == null ? Long.MAX_VALUE : executions, deadlineNs,
                     initialInputs(target));
             totalExecutions += result.executions();
-            System.out.printf(Locale.ROOT, "%-12s %9d inputs, %8.0f a second, %4d kept, %5d of %5d places%s%n",
+            System.out.printf(Locale.ROOT, "%-12s %9d inputs, %8.0f per second, corpus %4d, %5d of %5d probes%s%n",
                     target.name(), result.executions(),
                     result.executions() / ((System.nanoTime() - targetStartNs) / 1e9),
                             result.corpusSize(), result.coveredProbes(),
@@ -126,7 +127,7 @@
         return HexFormat.of().toHexDigits((int) checksum.getValue());
     }
 
-    /** Those of the corpus, and those that each target has of its own. */
+    /** The seeds of the target and its inputs in the corpus folder. */
     private List<byte[]> initialInputs(Target target) throws IOException {
         List<byte[]> inputs = new ArrayList<>(target.seeds());
         inputs.addAll(readCorpus(corpusFolder, target.name()).values());
@@ -167,17 +168,18 @@
         return selected;
     }
 
-    /** The target that a file of a finding or of the corpus is for: by its folder, or by its name. */
+    /** The target of a file of the corpus or of a finding, by the name of its folder or the prefix of its own name. */
     static Target targetOf(Path file) {
         List<Target> all = selectTargets(new ProductLoader(null, false), null);
         String folder = file.toAbsolutePath().getParent().getFileName().toString();
         String name = file.getFileName().toString();
         return all.stream().filter(each -> each.name().equals(folder) || name.startsWith(each.name() + "-")).findFirst()
                 .orElseThrow(() -> new vetchrill.tool.UsageException(file
-                        + ": neither its folder nor its name says its target"));
+                        + ": the target is neither the name of its folder nor the prefix of its name"));
     }
 
-    @Command(name = "list", mixinStandardHelpOptions = true, description = "All targets and what they cover.")
+    @Command(name = "list", mixinStandardHelpOptions = true,
+            description = "List all targets and the classes that they cover.")
     static final class ListCommand implements Callable<Integer> {
         @Override
         public Integer call() {
@@ -189,7 +191,7 @@
         }
     }
 
-    @Command(name = "replay", mixinStandardHelpOptions = true, description = "Play one input again.")
+    @Command(name = "replay", mixinStandardHelpOptions = true, description = "Replay one input.")
     static final class ReplayCommand implements Callable<Integer> {
         @Parameters(paramLabel = "FILE")
         private Path file;
@@ -205,13 +207,13 @@
                 e.printStackTrace(System.out);
                 return 1;
             }
-            System.out.println(target.name() + ": nothing is wrong with it");
+            System.out.println(target.name() + ": no finding");
             return 0;
         }
     }
 
     @Command(name = "minimise", mixinStandardHelpOptions = true,
-            description = "Make the input of a finding as short as it gets, in place.")
+            description = "Minimise the input of a finding, in place.")
     static final class MinimiseCommand implements Callable<Integer> {
         @Parameters(paramLabel = "FILE")
         private Path file;
@@ -223,7 +225,7 @@
             Target target = targetOf(file);
             String problem = Fuzzer.problemOf(target, input);
             if (problem == null) {
-                System.out.println(target.name() + ": nothing is wrong with it");
+                System.out.println(target.name() + ": no finding");
                 return 0;
             }
             byte[] shortest = Fuzzer.minimise(target, input, problem);
--- a/fuzz/src/main/java/vetchrill/fuzz/FuzzedDataProvider.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/FuzzedDataProvider.java
@@ -1,6 +1,6 @@
 package vetchrill.fuzz;
 
-/** An input read as decisions, one after the other; past its end all of them are zero. */
+/** Reads an input as a sequence of values; past its end all of them are zero, or the lower bound. */
 public final class FuzzedDataProvider {
     private final byte[] input;
     private int position;
@@ -17,7 +17,7 @@
         return position < input.length ? input[position++] & 0xff : 0;
     }
 
-    /** From 0 to below {@code n}. */
+    /** A value from 0 to below {@code bound}, of one byte, or of two if {@code bound} is above 256. */
     public int nextInt(int bound) {
         return (bound > 256 ? nextUnsignedByte() << 8 | nextUnsignedByte() : nextUnsignedByte()) % bound;
     }
@@ -26,7 +26,7 @@
         return (nextUnsignedByte() & 1) == 1;
     }
 
-    /** From {@code least} to {@code most}, small steps near the least. */
+    /** A value from {@code min} to {@code max} of one byte, in smaller steps near {@code min}. */
     public long nextLong(long min, long max) {
         double fraction = nextUnsignedByte() / 255.0;
         return min + Math.round(fraction * fraction * (max - min));
--- a/fuzz/src/main/java/vetchrill/fuzz/Fuzzer.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/Fuzzer.java
@@ -5,20 +5,22 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Runs one target on many inputs, keeping those that come to places where none had come. */
+/**
+ * A coverage-guided fuzzer: mutates inputs of a corpus, runs the target on them and adds those that reach new probes.
+ */
 public final class Fuzzer {
-    /** How inputs are found: random bytes alone, mutation without a guide, or all that there is. */
+    /** How inputs are made: of random bytes, by mutation of the initial inputs, or by mutation guided by coverage. */
     public enum Strategy { RANDOM, BLIND, GUIDED }
 
-    /** Something that went wrong, with the shortest input found that does it. */
+    /** A problem with the shortest input found that causes it. */
     public record Finding(String target, byte[] input, String problem) {
     }
 
-    /** What a run came to. */
+    /** The result of a fuzzing run. */
     public record Result(long executions, int corpusSize, int coveredProbes, int totalProbes, List<Finding> findings) {
     }
 
-    /** An input that takes longer than this is a finding by itself, and one that holds more memory is too. */
+    /** An input that takes longer is a finding, as is one that runs out of memory. */
     private static final long MAX_EXECUTION_NS = 5_000_000_000L;
     private static final int MAX_FINDINGS = 3;
 
@@ -29,7 +31,7 @@
     private long executions;
     private final boolean stopAtFirst;
 
-    /** {@code first}: the first finding is enough, and its input as good as any. */
+    /** {@code stopAtFirst}: stop at the first finding and do not minimise its input. */
     public Fuzzer(Target target, long seed, Strategy strategy, boolean stopAtFirst) {
         this.stopAtFirst = stopAtFirst;
         this.target = target;
@@ -37,7 +39,7 @@
         random = new SplittableRandom(seed * 31 + target.name().hashCode());
     }
 
-    /** Runs so many inputs, or until a time by System.nanoTime, whichever comes first. */
+    /** Runs up to {@code maxExecutions} inputs, no longer than until {@code deadlineNs} by System.nanoTime. */
     public Result run(long maxExecutions, long deadlineNs, List<byte[]> initialInputs) {
         List<Finding> findings = new ArrayList<>();
         CoverageProbes.reset();
@@ -73,7 +75,7 @@
         if (strategy == Strategy.RANDOM || corpus.isEmpty()) {
             return Mutations.random(random);
         }
-        // What was found last leads on most often.
+        // One in three inputs is one of the 8 newest of the corpus, since these lead to new coverage most often.
         int index = random.nextInt(3) == 0 ? corpus.size() - 1 - random.nextInt(Math.min(8, corpus.size()))
                 : random.nextInt(corpus.size());
         byte[] base = corpus.get(index);
@@ -86,7 +88,7 @@
         return Mutations.mutate(base, corpus.get(random.nextInt(corpus.size())), target.words(), random);
     }
 
-    /** What is wrong with it, in one line that is the same for the same cause; null where nothing is. */
+    /** Runs an input; returns the problem in one line, the same for the same cause, or null if there is none. */
     private String problemOf(byte[] input) {
         executions++;
         return problemOf(target, input);
@@ -113,7 +115,7 @@
                 + " ms" : null;
     }
 
-    /** The shortest input found that has the same thing wrong with it. */
+    /** The shortest input found that causes the same problem. */
     public byte[] minimise(byte[] input, String problem) {
         return minimise(target, input, problem);
     }
@@ -144,7 +146,10 @@
         return best;
     }
 
-    /** The inputs that, in this order, each come to a place where those before had not come; the shortest first. */
+    /**
+     * Reduces a corpus: of the inputs, sorted from the shortest, those that each reach probes that the ones before do
+     * not.
+     */
     public static List<byte[]> distill(Target target, List<byte[]> inputs) {
         List<byte[]> sorted = new ArrayList<>(inputs);
         sorted.sort((a, b) -> a.length != b.length ? a.length - b.length : Arrays.compare(a, b));
--- a/fuzz/src/main/java/vetchrill/fuzz/InvariantViolation.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/InvariantViolation.java
@@ -1,6 +1,6 @@
 package vetchrill.fuzz;
 
-/** Something that must not happen and did. */
+/** Thrown by a target if the product violates an invariant; the message is the same for the same cause. */
 public final class InvariantViolation extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/fuzz/src/main/java/vetchrill/fuzz/LifeCommand.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/LifeCommand.java
@@ -9,9 +9,10 @@
 import vetchrill.fuzz.chain.LifecycleWalk;
 
 @Command(name = "life", mixinStandardHelpOptions = true,
-        description = "Walk every order of what can happen to one exchange, to a depth, on the real chain.")
+        description = "Explore every sequence of events of one exchange, up to a length, on the real chain.")
 final class LifeCommand implements Callable<Integer> {
-    @Option(names = "--depth", defaultValue = "4", description = "Steps of each path (${DEFAULT-VALUE}).")
+    @Option(names = "--depth", defaultValue = "4",
+            description = "Number of events of each sequence (${DEFAULT-VALUE}).")
     int depth;
 
     int stateCount;
--- a/fuzz/src/main/java/vetchrill/fuzz/MeasureAuditCommand.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/MeasureAuditCommand.java
@@ -18,38 +18,42 @@
 import vetchrill.standin.AuditScenario;
 import vetchrill.tool.ToolCommand;
 
-/** All that is claimed of versions, floors and the record, from nothing to one line. */
+/** Measures all guarantees of versions, minimum versions and the audit log, and prints them in one line. */
 @Command(name = "measure-audit", mixinStandardHelpOptions = true,
-        description = "Play real processes with faults between them, drawn schedules, every order of a few steps, and "
-                + "planted faults. Exit code 1 where something does not hold.")
+        description = "Run real processes with fault injection, random schedules, every order of a few steps, and "
+                + "planted faults. Exit code 1 if a guarantee does not hold.")
 public final class MeasureAuditCommand implements Callable<Integer>, ToolCommand {
-    @Option(names = "--processes", defaultValue = "12", description = "Of each play (${DEFAULT-VALUE}).")
+    @Option(names = "--processes", defaultValue = "12", description = "Instances of each scenario (${DEFAULT-VALUE}).")
     private int processes;
 
     @Option(names = "--keepers", defaultValue = "5",
-            description = "Those of them that keep the floor (${DEFAULT-VALUE}).")
+            description = "Number of them that vote on the minimum version (${DEFAULT-VALUE}).")
     private int voters;
 
-    @Option(names = "--plays", defaultValue = "6", description = "(${DEFAULT-VALUE})")
+    @Option(names = "--plays", defaultValue = "6", description = "Number of scenarios (${DEFAULT-VALUE}).")
     private int scenarios;
 
-    @Option(names = "--troubles", defaultValue = "10", description = "In each play (${DEFAULT-VALUE}).")
+    @Option(names = "--troubles", defaultValue = "10",
+            description = "Faults injected in each scenario (${DEFAULT-VALUE}).")
     private int faultsPerScenario;
 
-    @Option(names = "--first-seed", defaultValue = "1", description = "The others follow (${DEFAULT-VALUE}).")
+    @Option(names = "--first-seed", defaultValue = "1", description = "Seed of the first scenario (${DEFAULT-VALUE}).")
     private long firstSeed;
 
-    @Option(names = "--schedules", defaultValue = "20000", description = "Drawn for the simulation (${DEFAULT-VALUE}).")
+    @Option(names = "--schedules", defaultValue = "20000",
+            description = "Random schedules simulated (${DEFAULT-VALUE}).")
     private int randomSchedules;
 
     @Option(names = "--beside", negatable = true, defaultValue = "true", fallbackValue = "true",
-            description = "A change by a version beside one by a file on each machine and SIGHUP (${DEFAULT-VALUE}).")
+            description = "Compare a change by version with one by file and SIGHUP on each machine (${DEFAULT-VALUE}).")
     private boolean compareWithFile;
 
-    @Option(names = "--depth", defaultValue = "4", description = "Of the walk through all orders (${DEFAULT-VALUE}).")
+    @Option(names = "--depth", defaultValue = "4",
+            description = "Steps of the walk through all orders (${DEFAULT-VALUE}).")
     private int walkDepth;
 
-    @Option(names = "--planted", defaultValue = "60", description = "Seconds for each planted fault, 0 for none "
+    @Option(names = "--planted", defaultValue = "60",
+            description = "Seconds of fuzzing for each planted fault, 0 for none "
             + "(${DEFAULT-VALUE}).")
     private double secondsPerFault;
 
@@ -129,7 +133,7 @@
 
     private void runFileComparison() throws IOException, InterruptedException {
         Path folder = AuditScenario.createFolder();
-        System.out.printf("%-18s %14s %14s %7s | %14s %7s%n", "one of them is", "by version ms", "healed, ms", "missed",
+        System.out.printf("%-18s %14s %14s %7s | %14s %7s%n", "fault of one", "by version ms", "healed, ms", "missed",
                 "file, HUP ms", "missed");
         for (AuditScenario.RolloutTimes each : AuditScenario.compareRollouts(processes, voters, folder)) {
             System.out.printf("%-18s %14d %14d %7d | %14d %7d%n", each.fault(), each.versionMs(),
--- a/fuzz/src/main/java/vetchrill/fuzz/MeasureFuzzCommand.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/MeasureFuzzCommand.java
@@ -8,22 +8,25 @@
 import picocli.CommandLine.Option;
 
 @Command(name = "measure", mixinStandardHelpOptions = true, hidden = true,
-        description = "The figures of fuzzing from nothing: what is found of the faults that are "
-                + "planted, and the product.")
+        description = "Measure the fuzzer: how many of the planted faults it finds, "
+                + "and what it finds in the product.")
 final class MeasureFuzzCommand implements Callable<Integer> {
-    @Option(names = "--seconds", defaultValue = "120", description = "Of fuzzing the product (${DEFAULT-VALUE}).")
+    @Option(names = "--seconds", defaultValue = "120",
+            description = "Seconds of fuzzing the product (${DEFAULT-VALUE}).")
     private double seconds;
 
-    @Option(names = "--short", defaultValue = "10", description = "Of fuzzing each fault (${DEFAULT-VALUE}).")
+    @Option(names = "--short", defaultValue = "10", description = "Seconds of fuzzing each fault (${DEFAULT-VALUE}).")
     private double shortSeconds;
 
-    @Option(names = "--long", defaultValue = "600", description = "Of fuzzing each fault not found (${DEFAULT-VALUE}).")
+    @Option(names = "--long", defaultValue = "600",
+            description = "Further seconds for each fault not found (${DEFAULT-VALUE}).")
     private double longSeconds;
 
-    @Option(names = "--depth", defaultValue = "5", description = "Of the walk (${DEFAULT-VALUE}).")
+    @Option(names = "--depth", defaultValue = "5",
+            description = "Events of each sequence that \"life\" explores (${DEFAULT-VALUE}).")
     private int depth;
 
-    @Option(names = "--seed", defaultValue = "1", description = "Of all that is drawn (${DEFAULT-VALUE}).")
+    @Option(names = "--seed", defaultValue = "1", description = "Seed of all random numbers (${DEFAULT-VALUE}).")
     private long seed;
 
     @Override
--- a/fuzz/src/main/java/vetchrill/fuzz/MeasureRecoveryCommand.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/MeasureRecoveryCommand.java
@@ -17,27 +17,31 @@
 import vetchrill.standin.PowerLossScenario;
 import vetchrill.tool.ToolCommand;
 
-/** What is claimed of stores and losses of power, from nothing to one line. */
+/** Measures all guarantees of the durable store after power loss, and prints them in one line. */
 @Command(name = "measure-recovery", mixinStandardHelpOptions = true,
-        description = "Play real processes that lose power together, drawn schedules with real stores, and planted "
-                + "faults. Exit code 1 where something does not hold.")
+        description = "Run real processes that lose power together, random schedules with real stores, and planted "
+                + "faults. Exit code 1 if a guarantee does not hold.")
 public final class MeasureRecoveryCommand implements Callable<Integer>, ToolCommand {
-    @Option(names = "--processes", defaultValue = "5", description = "Of each play, 4 or more (${DEFAULT-VALUE}).")
+    @Option(names = "--processes", defaultValue = "5",
+            description = "Instances of each scenario, 4 or more (${DEFAULT-VALUE}).")
     private int processes;
 
-    @Option(names = "--plays", defaultValue = "4", description = "(${DEFAULT-VALUE})")
+    @Option(names = "--plays", defaultValue = "4", description = "Number of scenarios (${DEFAULT-VALUE}).")
     private int scenarios;
 
-    @Option(names = "--losses", defaultValue = "12", description = "In each play, at least (${DEFAULT-VALUE}).")
+    @Option(names = "--losses", defaultValue = "12",
+            description = "Minimum of power losses in each scenario (${DEFAULT-VALUE}).")
     private int minPowerLosses;
 
-    @Option(names = "--first-seed", defaultValue = "1", description = "The others follow (${DEFAULT-VALUE}).")
+    @Option(names = "--first-seed", defaultValue = "1", description = "Seed of the first scenario (${DEFAULT-VALUE}).")
     private long firstSeed;
 
-    @Option(names = "--schedules", defaultValue = "5000", description = "Drawn for the simulation (${DEFAULT-VALUE}).")
+    @Option(names = "--schedules", defaultValue = "5000",
+            description = "Random schedules simulated (${DEFAULT-VALUE}).")
     private int randomSchedules;
 
-    @Option(names = "--planted", defaultValue = "60", description = "Seconds for each planted fault, 0 for none "
+    @Option(names = "--planted", defaultValue = "60",
+            description = "Seconds of fuzzing for each planted fault, 0 for none "
             + "(${DEFAULT-VALUE}).")
     private double secondsPerFault;
 
--- a/fuzz/src/main/java/vetchrill/fuzz/Mutations.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/Mutations.java
@@ -6,11 +6,11 @@
 import java.util.SplittableRandom;
 
 /**
- * Changes of bytes that know nothing of any format but its words, and that numbers stand in one, two or four of
- * them.
+ * Mutations of bytes without knowledge of the format, except for its words and for numbers of one, two or four bytes.
  */
 final class Mutations {
     private static final int MAX_BYTES = 4_096;
+    /** Numbers at the limits of bytes, shorts and frames, where parsers fail most often. */
     private static final int[] BOUNDARY_VALUES = {0, 1, -1, 4, 5, 9, 16, 127, 128, 255, 256, 32_767, 65_535, 65_536,
             262_144,
         262_145, Integer.MAX_VALUE, Integer.MIN_VALUE};
--- a/fuzz/src/main/java/vetchrill/fuzz/ProductLoader.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/ProductLoader.java
@@ -10,22 +10,25 @@
 import org.objectweb.asm.Opcodes;
 
 /**
- * Loads the product anew with a probe at each place, and the targets uninstrumented beside it; classes in a folder go
- * before those of the class path, so that a product with a fault in it is fuzzed by the same means.
+ * Loads the classes of the product again, instrumented with coverage probes, and those of the targets without. Classes
+ * in the overlay folder replace those of the class path, so that a product with a planted fault is fuzzed in the same
+ * way.
  */
 final class ProductLoader extends ClassLoader {
     private final Instrumenter instrumenter = new Instrumenter(new Accessor());
     private final Path overlay;
     private final boolean instrumented;
 
-    /** {@code first} may be null. */
+    /** {@code overlay} may be null. */
     ProductLoader(Path overlay, boolean instrumented) {
         super(ProductLoader.class.getClassLoader());
         this.overlay = overlay;
         this.instrumented = instrumented;
     }
 
-    /** The class of a probe's array is one for all loaders, and has to be asked for by a call in the class itself. */
+    /**
+     * Generates the call by which an instrumented class gets its probes from CoverageProbes, which all loaders share.
+     */
     private static final class Accessor implements IExecutionDataAccessorGenerator {
         @Override
         public int generateDataAccessor(long id, String name, int count, MethodVisitor code) {
--- a/fuzz/src/main/java/vetchrill/fuzz/ScriptFormat.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/ScriptFormat.java
@@ -5,14 +5,14 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Inputs that are a head and then steps of so many octets each, as the scripts of what is simulated are. */
+/** The format of the scripts of simulations: a header, then up to {@code maxSteps} steps of {@code stepBytes} each. */
 public record ScriptFormat(int headerBytes, int stepBytes, int maxSteps) {
-    /** Octets past which nothing of a script is played. */
+    /** The length of the longest script; bytes after it are ignored. */
     public int maxBytes() {
         return headerBytes + stepBytes * maxSteps;
     }
 
-    /** A few to begin with, of so many steps. */
+    /** Four random scripts of the given number of steps, as seeds. */
     public List<byte[]> seeds(int firstSeed, int stepCount) {
         List<byte[]> seeds = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
@@ -26,7 +26,7 @@
         return seeds;
     }
 
-    /** A story as a script, its head empty. */
+    /** Encodes a scenario as a script with a header of zeros. */
     public byte[] encode(int[][] scenario) {
         byte[] script = new byte[headerBytes + stepBytes * scenario.length];
         for (int i = 0; i < stepBytes * scenario.length; i++) {
@@ -35,7 +35,7 @@
         return script;
     }
 
-    /** So many of four to 27 steps each, every octet drawn. */
+    /** The given number of scripts of 4 to 27 steps each, of random bytes. */
     public List<byte[]> randomScripts(long seed, int count) {
         SplittableRandom chance = new SplittableRandom(seed);
         List<byte[]> scripts = new ArrayList<>();
@@ -49,7 +49,7 @@
         return scripts;
     }
 
-    /** A step is put in, taken out, moved, or made another; or all of it is played in another order of things. */
+    /** Inserts, removes, copies or changes a step, or changes a byte of the header. */
     public byte[] mutate(byte[] input, SplittableRandom chance) {
         int stepCount = (input.length - headerBytes) / stepBytes;
         if (stepCount < 1) {
--- a/fuzz/src/main/java/vetchrill/fuzz/Target.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/Target.java
@@ -3,25 +3,27 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Something that takes bytes from outside, and what must hold whatever they are. */
+/** A fuzz target: runs a part of the product on an input and checks the invariants that hold for every input. */
 public interface Target {
     String name();
 
-    /** The classes whose input this is; a parser that no target covers fails the tests. */
+    /** The classes under test; the tests fail for a parser that no target covers. */
     List<Class<?>> covers();
 
-    /** Runs one input; throws a Finding, or anything else that the product let through, where something is wrong. */
+    /**
+     * Runs one input; throws an InvariantViolation if an invariant is violated. Any other exception is a finding too.
+     */
     void run(byte[] input);
 
-    /** Inputs to start from, each of them taken by the product as it is. */
+    /** Initial inputs without findings. */
     List<byte[]> seeds();
 
-    /** Another input by the rules of the format, or null where bytes are as good as any. */
+    /** A mutation of the input that respects the format, or null if there is none. */
     default byte[] mutate(byte[] input, SplittableRandom random) {
         return null;
     }
 
-    /** Words that the format knows, for mutation. */
+    /** Words of the format, which mutations insert. */
     default List<String> words() {
         return List.of();
     }
--- a/fuzz/src/main/java/vetchrill/fuzz/TargetLoader.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/TargetLoader.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** All targets, as a loader's own classes: those of an instrumented or a faulty product as well. */
+/** Gets all targets through a class loader, which may load an instrumented or a faulty product. */
 public final class TargetLoader {
     private TargetLoader() {
     }
--- a/fuzz/src/main/java/vetchrill/program/StartConfigurations.java
+++ b/fuzz/src/main/java/vetchrill/program/StartConfigurations.java
@@ -2,12 +2,12 @@
 
 import java.util.Map;
 
-/** A start as the program reads it, without anything started. */
+/** Gives the fuzzer access to the parser of the start configuration. */
 public final class StartConfigurations {
     private StartConfigurations() {
     }
 
-    /** Throws IllegalArgumentException for a configuration of no use. */
+    /** Parses a configuration; throws IllegalArgumentException if it is not valid. */
     public static void read(Map<String, String> environment) {
         new StartConfiguration(environment);
     }
--- a/fuzz/src/main/java/vetchrill/routing/ProcessingChainState.java
+++ b/fuzz/src/main/java/vetchrill/routing/ProcessingChainState.java
@@ -1,11 +1,11 @@
 package vetchrill.routing;
 
-/** What a chain holds, for whoever checks that it holds nothing any more. */
+/** Gives the fuzzer access to the resources that a processing chain holds, to check that all are released. */
 public final class ProcessingChainState {
     private ProcessingChainState() {
     }
 
-    /** Exchanges that are open or whose run may still tell of itself. */
+    /** Number of exchanges that are open or whose run may still report its end. */
     public static int openExchangeCount(ProcessingChain chain) {
         return chain.registry.openCount();
     }
@@ -14,7 +14,7 @@
         return chain.registry.connectionCount();
     }
 
-    /** Bytes of bodies that are kept. */
+    /** Bytes of the bodies in memory. */
     public static long bodyBytes(ProcessingChain chain) {
         return chain.openBodyBytes.get();
     }
--- a/fuzz/src/test/java/vetchrill/fuzz/FuzzTest.java
+++ b/fuzz/src/test/java/vetchrill/fuzz/FuzzTest.java
@@ -17,7 +17,7 @@
 @Test
 public class FuzzTest {
     private static final Path CORPUS = Path.of("corpus");
-    /** Classes that read no bytes of others though they look like it. */
+    /** Classes that read no external input although their names suggest it. */
     private static final Set<String> NOT_PARSERS = Set.of("vetchrill.protocol.HealthReportSink");
 
     @DataProvider
@@ -26,7 +26,7 @@
                 .toArray(Object[][]::new);
     }
 
-    /** Each finding stays in the corpus under its target, and is played here for good. */
+    /** Regression test: inputs of former findings stay in the corpus of their target. */
     @Test(dataProvider = "targets")
     public void corpusRunsWithoutFindings(String name, Target target) throws IOException {
         for (byte[] seed : target.seeds()) {
@@ -37,7 +37,7 @@
         }
     }
 
-    /** The same seed, the same inputs and the same places: a verdict that changes by itself is none. */
+    /** The same seed must give the same inputs and the same coverage, or findings could not be reproduced. */
     public void resultDependsOnlyOnSeed() throws IOException {
         List<String> runs = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
@@ -49,7 +49,7 @@
         assertEquals(runs.get(1), runs.get(0));
     }
 
-    /** Whoever adds a parser adds a target: what reads bytes, text or streams of others is covered by one. */
+    /** Fails for a new parser of external bytes, text or streams that no target covers. */
     public void everyParserHasATarget() throws IOException {
         Set<String> covered = new HashSet<>();
         for (Target target : TargetLoader.all(FuzzTest.class.getClassLoader())) {
@@ -72,7 +72,7 @@
         assertTrue(uncovered.isEmpty(), "no target covers " + uncovered);
     }
 
-    /** The guide, the oracle and the plant work together: a fault that is known is found, and made short. */
+    /** The fuzzer finds a known fault by coverage guidance and minimises its input. */
     public void plantedFaultIsFoundAndMinimised() {
         Target honest = FuzzCommand.selectTargets(FuzzTest.class.getClassLoader(), "frames").get(0);
         Target faulty = new Target() {
