--- a/lab/src/main/java/vetchrill/capture/Capture.java
+++ b/lab/src/main/java/vetchrill/capture/Capture.java
@@ -8,6 +8,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
+import java.util.zip.CRC32C;
 import org.apache.arrow.memory.RootAllocator;
 import org.apache.arrow.vector.BaseIntVector;
 import org.apache.arrow.vector.FieldVector;
@@ -17,23 +18,27 @@
 import vetchrill.protocol.DeploymentReader;
 import vetchrill.routing.Recorder;
 
-/** What one life of one relay has recorded, read back. Columns are arrays; a row has one place in all of them. */
+/**
+ * The recording of one incarnation of one instance, read from its file. Each column is an array; a row has the same
+ * index in all of them. Times and durations are tenths of a millisecond.
+ */
 public final class Capture {
     public final Path file;
-    /** The relay, its zone and its kind of machine, as recorded. */
+    /** The names of the instance, of its zone and of its machine kind. */
     public final String name;
     public final String zone;
     public final String kind;
-    /** When its process started, in tenths of a millisecond of Unix time. */
+    /** When its process started, in tenths of a millisecond since the Unix epoch. */
     public final long startedAt;
-    /** What the relay was told of its deployment. */
+    /** The deployment settings with which the instance ran. */
     public final DeploymentReader deployment;
-    /** It was ended in its order; else it is read up to its last whole part. */
+    /** Whether the recorder was closed; else the file is read up to its last complete part. */
     public boolean complete;
-    /** What was cut off at the end, in bytes. */
+    /** Bytes of an incomplete part at the end, which are ignored. */
     public long cutBytes;
-    /** Exchanges that found no room and are missing. */
+    /** Exchanges that were not recorded, as the ring or the file was full. */
     public long droppedRows;
+    /** How many exchanges were recorded; the columns that follow have this many values. */
     public int rows;
     public long[] arrivedAt = new long[0];
     public long[] dequeuedAt = new long[0];
@@ -43,14 +48,15 @@
     public long[] subject = new long[0];
     public float[] sizeKb = new float[0];
     public int[] bodyBytes = new int[0];
-    /** 0 where it never ran. */
+    /** 0 if it never ran. */
     public long[] runStartedAt = new long[0];
     public long[] runDuration = new long[0];
     public long[] answeredAt = new long[0];
-    /** One of those of {@link Recorder}. */
+    /** {@link Recorder#COMPLETED} and so on. */
     public byte[] answerKind = new byte[0];
     public long[] retryAfter = new long[0];
     public boolean[] doNotRetry = new boolean[0];
+    /** How many samples of the gauges were recorded; the columns that follow have this many values. */
     public int gaugeRows;
     public long[] sampledAt = new long[0];
     public float[] cpu = new float[0];
@@ -66,24 +72,24 @@
         try {
             startedAt = 10 * Long.parseLong(required(provenance, "started"));
         } catch (NumberFormatException e) {
-            throw new CaptureException(file + ": its start is no time");
+            throw new CaptureException(file + ": its start time is not a number");
         }
         try {
             deployment = new DeploymentReader(required(provenance, "settings"));
         } catch (IllegalArgumentException e) {
-            throw new CaptureException(file + ": settings in it can't be read: " + e.getMessage());
+            throw new CaptureException(file + ": its settings are invalid: " + e.getMessage());
         }
     }
 
     private String required(Map<String, String> provenance, String key) {
         String value = provenance.get(key);
         if (value == null || value.isEmpty()) {
-            throw new CaptureException(file + ": does not say its " + key);
+            throw new CaptureException(file + ": has no " + key);
         }
         return value;
     }
 
-    /** Reads a file whole, or up to its last whole part; throws CaptureFault where it is damaged or holds nothing. */
+    /** Reads a file up to its last complete part; throws CaptureException if it is damaged or has no complete part. */
     public static Capture read(Path file) {
         byte[] all;
         try {
@@ -94,6 +100,7 @@
         return read(file, all);
     }
 
+    /** Reads the content of a file; {@code file} is the name used in error messages. */
     public static Capture read(Path file, byte[] all) {
         if (all.length == 0) {
             throw new CaptureException(file + ": is empty");
@@ -105,14 +112,14 @@
                 for (int i = 0; i < Math.min(CaptureFormat.MAGIC.length, all.length - offset); i++) {
                     if (all[offset + i] != CaptureFormat.MAGIC[i]) {
                         throw new CaptureException(file + ": "
-                                + (offset == 0 ? "is no capture" : "is damaged at byte " + offset));
+                                + (offset == 0 ? "is not a capture" : "is damaged at byte " + offset));
                     }
                 }
                 if (all.length - offset < CaptureFormat.HEADER_BYTES) {
                     break;
                 }
                 if (all[offset + 4] != CaptureFormat.VERSION) {
-                    throw new CaptureException(file + ": is of version " + all[offset + 4] + ", known is "
+                    throw new CaptureException(file + ": has the format version " + all[offset + 4] + ", expected "
                             + CaptureFormat.VERSION);
                 }
                 byte table = all[offset + 5];
@@ -125,21 +132,21 @@
                 if (length > all.length - offset - CaptureFormat.HEADER_BYTES) {
                     break;
                 }
-                java.util.zip.CRC32C checksum = new java.util.zip.CRC32C();
+                CRC32C checksum = new CRC32C();
                 checksum.update(all, offset + CaptureFormat.HEADER_BYTES, length);
                 if ((int) checksum.getValue() != CaptureFormat.getInt(all, offset + 12)) {
                     throw new CaptureException(file + ": is damaged between bytes " + offset + " and "
                             + (offset + CaptureFormat.HEADER_BYTES + length));
                 }
                 if (capture != null && capture.complete) {
-                    throw new CaptureException(file + ": goes on after its end at byte " + offset);
+                    throw new CaptureException(file + ": has data after its end part, at byte " + offset);
                 }
                 capture = readPart(file, capture, table, all, offset + CaptureFormat.HEADER_BYTES, length, allocator);
                 offset += CaptureFormat.HEADER_BYTES + length;
             }
         }
         if (capture == null) {
-            throw new CaptureException(file + ": holds no whole part");
+            throw new CaptureException(file + ": has no complete part");
         }
         capture.cutBytes = all.length - offset;
         return capture;
@@ -149,24 +156,24 @@
             RootAllocator allocator) {
         try (ArrowStreamReader reader = new ArrowStreamReader(new ByteArrayInputStream(all, from, length), allocator)) {
             if (!CaptureFormat.declaredLengthsFit(all, from, length)) {
-                throw new CaptureException(file + ": a part claims more than it holds");
+                throw new CaptureException(file + ": a part declares more data than it has");
             }
             VectorSchemaRoot root = reader.getVectorSchemaRoot();
             Map<String, String> provenance = root.getSchema().getCustomMetadata();
             Capture capture = earlier == null ? new Capture(file, provenance) : earlier;
             if (!capture.name.equals(provenance.get("name"))) {
-                throw new CaptureException(file + ": has parts of different relays");
+                throw new CaptureException(file + ": has parts of different instances");
             }
             List<String> expected = table == CaptureFormat.GAUGES ? CaptureFormat.GAUGE_COLUMNS
                     : CaptureFormat.EXCHANGE_COLUMNS;
             List<String> names = root.getSchema().getFields().stream().map(field -> field.getName()).toList();
             if (!names.equals(expected)) {
-                throw new CaptureException(file + ": has the columns " + names + ", wanted are " + expected);
+                throw new CaptureException(file + ": has the columns " + names + ", expected " + expected);
             }
             capture.droppedRows = Long.parseLong(provenance.getOrDefault("lost", "0"));
             while (table != CaptureFormat.END && reader.loadNextBatch()) {
                 if (root.getRowCount() > length) {
-                    throw new CaptureException(file + ": a part claims " + root.getRowCount() + " rows in " + length
+                    throw new CaptureException(file + ": a part declares " + root.getRowCount() + " rows in " + length
                             + " bytes");
                 }
                 if (table == CaptureFormat.GAUGES) {
@@ -180,7 +187,7 @@
         } catch (CaptureException e) {
             throw e;
         } catch (IOException | RuntimeException e) {
-            // Whatever the library stumbles on in a part that is no part of a capture.
+            // The library fails with any exception on a part that is not valid.
             throw new CaptureException(file + ": can't be read: " + String.valueOf(e.getMessage()).split("\n")[0]);
         }
     }
@@ -215,7 +222,7 @@
         }
     }
 
-    /** A checksum tells of bytes that changed; this, of a writer that was wrong: no plan is made from nonsense. */
+    /** Checks that the values of a row are possible: a checksum detects changed bytes, but not an incorrect writer. */
     private void check(int row) {
         boolean valid = group[row] >= 0 && group[row] < deployment.groupNames.size() && customer[row] >= 0
                 && customer[row] < Math.max(1, deployment.customerNames.size()) && dequeuedAt[row] >= arrivedAt[row]
@@ -225,7 +232,7 @@
                 && (runStartedAt[row] == 0 || runStartedAt[row] >= dequeuedAt[row]);
         if (!valid) {
             throw new CaptureException(file + ": row " + row
-                    + " can't be: its times, its group or its answer are at odds");
+                    + " is inconsistent in its times, group, customer, answer or sizes");
         }
     }
 
@@ -264,13 +271,13 @@
         return all;
     }
 
-    /** All captures in a folder, in the order of their names. */
+    /** Reads all captures of a directory in the order of their names; at least one exchange must be among them. */
     public static List<Capture> readAll(Path folder) {
         List<Path> files;
         try (var list = Files.list(folder)) {
             files = list.filter(file -> file.toString().endsWith(".vcap")).sorted().toList();
         } catch (IOException e) {
-            throw new CaptureException(folder + ": is no folder of captures");
+            throw new CaptureException(folder + ": is not a readable directory");
         }
         List<Capture> captures = new ArrayList<>();
         for (Path file : files) {
--- a/lab/src/main/java/vetchrill/capture/CaptureException.java
+++ b/lab/src/main/java/vetchrill/capture/CaptureException.java
@@ -1,6 +1,6 @@
 package vetchrill.capture;
 
-/** A capture that can't be used; the message names the file and what is wrong with it. */
+/** A capture cannot be used; the message names the file and the reason. */
 public final class CaptureException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/lab/src/main/java/vetchrill/capture/CaptureFormat.java
+++ b/lab/src/main/java/vetchrill/capture/CaptureFormat.java
@@ -8,6 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.zip.CRC32C;
 import org.apache.arrow.flatbuf.Message;
 import org.apache.arrow.vector.BigIntVector;
 import org.apache.arrow.vector.FieldVector;
@@ -22,25 +23,27 @@
 import org.apache.arrow.vector.types.pojo.Schema;
 
 /**
- * The two tables of a capture in Arrow's columns, and how a part of a file is laid out: "VCAP", a byte for the
- * version, a byte for the table, two of zero, the length and the CRC-32C of what follows as big-endian numbers of
- * four bytes, then a whole Arrow stream of one batch. Each part has its schema and provenance in it, so that each can
- * be read alone.
+ * The format of a capture file: a sequence of parts, each with rows of one of two tables.
+ *
+ * <p>A part is {@code VCAP}, one byte for the version, one for the table, two that are zero, the length and the CRC-32C
+ * of the rest as big-endian integers of four bytes, then a complete Arrow stream of one batch. Each part contains its
+ * schema and metadata, so it can be read without the others.
  */
 final class CaptureFormat {
     static final byte[] MAGIC = {'V', 'C', 'A', 'P'};
     static final int VERSION = 1;
     static final int HEADER_BYTES = 16;
+    // The tables.
     static final byte EXCHANGES = 1;
     static final byte GAUGES = 2;
-    /** Nothing follows: the recorder was closed. It has no rows, only its provenance with the last counts. */
+    /** The last part of a file whose recorder was closed. It has no rows, only its metadata with the final counts. */
     static final byte END = 3;
     static final int MAX_PART_BYTES = 64 << 20;
+    /** Precedes the length of a message in an Arrow stream. */
     private static final int CONTINUATION_MARKER = -1;
 
     static final List<String> EXCHANGE_COLUMNS = List.of("arrived", "heard", "group", "customer", "stub", "subject",
-            "kb",
-            "bytes", "begun", "took", "answered", "answer", "away", "give_up");
+            "kb", "bytes", "begun", "took", "answered", "answer", "away", "give_up");
     static final List<String> GAUGE_COLUMNS = List.of("at", "cpu", "runnable", "memory", "connections", "open",
             "running");
 
@@ -66,7 +69,7 @@
         return new Schema(fields, provenance);
     }
 
-    /** A filled column is set by row; values are checked by whoever reads them. */
+    /** Sets a value of a column, converted to its type. The reader checks the range of values. */
     static void set(FieldVector column, int row, double value) {
         if (column instanceof BigIntVector longs) {
             longs.setSafe(row, (long) value);
@@ -87,7 +90,7 @@
         }
     }
 
-    /** One part, whole. */
+    /** Returns one complete part with the given rows. */
     static byte[] encode(VectorSchemaRoot rows, byte table) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(1 << 16);
         bytes.write(new byte[HEADER_BYTES]);
@@ -97,7 +100,7 @@
             writer.end();
         }
         byte[] part = bytes.toByteArray();
-        java.util.zip.CRC32C checksum = new java.util.zip.CRC32C();
+        CRC32C checksum = new CRC32C();
         checksum.update(part, HEADER_BYTES, part.length - HEADER_BYTES);
         System.arraycopy(MAGIC, 0, part, 0, MAGIC.length);
         part[4] = VERSION;
@@ -108,8 +111,8 @@
     }
 
     /**
-     * Whether each message of the Arrow stream in a part claims no more bytes than there are: the library makes room
-     * for whatever is claimed before it reads any of it.
+     * Whether no message of the Arrow stream in a part declares more bytes than there are. The library allocates the
+     * declared lengths before it reads any data.
      */
     static boolean declaredLengthsFit(byte[] bytes, int offset, int length) {
         ByteBuffer in = ByteBuffer.wrap(bytes, offset, length).order(ByteOrder.LITTLE_ENDIAN);
--- a/lab/src/main/java/vetchrill/capture/CaptureMerge.java
+++ b/lab/src/main/java/vetchrill/capture/CaptureMerge.java
@@ -5,34 +5,36 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import vetchrill.control.EndpointGroup;
 import vetchrill.routing.Recorder;
 
 /**
- * Captures of several relays as one: rows in the order of their arrival on one clock, and for each whether it was a
- * first try. Further tries are not marked on the way, so that is an estimate: a row is taken for a further try where
- * an earlier one of the same stub, customer, group, subject, size and memory had ended without a result or was not
- * answered yet, and was no older than an exchange may get.
+ * Merges the captures of several instances: rows in the order of their arrival on a common clock, each marked as a
+ * first attempt or a retry. Requests do not identify retries, so this is an estimate: a row is taken for a retry if an
+ * earlier row of the same stub, customer, group, subject, size and memory had ended without a result or was not
+ * answered yet, and is not older than the timeout of an exchange.
  */
 public final class CaptureMerge {
-    /** A stub's own clockwork: a further try may seem to come a little before the answer that caused it. */
+    /**
+     * A request may seem to arrive up to this long before the answer that its stub reacted to, as stubs have timers of
+     * their own.
+     */
     private static final long MAX_EARLY_TENTHS_MS = 50;
 
     public final List<Capture> captures;
     public final ClockOffsets clockOffsets;
     public final int rows;
-    /** By row: its capture, its row in there, and its time of arrival on the common clock. */
+    /** By row: the index of its capture, its row in that capture, and its time of arrival on the common clock. */
     public final int[] capture;
     public final int[] row;
     public final long[] arrivedAt;
     public final boolean[] retry;
-    /**
-     * Of the rows that were taken for further tries, how many are so by chance alone, as far as a shifted match
-     * tells.
-     */
+    /** Estimated share of first attempts that are taken for retries by coincidence. */
     public final double falseRetryRatio;
+    /** Arrival of the first and of the last row. */
     public final long from;
     public final long to;
-    /** What had to be left out or could not be known, one line each. */
+    /** What was left out or could not be determined, one line each. */
     public final List<String> remarks = new ArrayList<>();
 
     public CaptureMerge(List<Capture> captures) {
@@ -68,12 +70,13 @@
         addRemarks();
     }
 
+    /** Throws CaptureException if the captures differ in their groups or customers. */
     private void checkSameFleet() {
         Capture first = captures.get(0);
         for (Capture each : captures) {
             if (!each.deployment.groupNames.equals(first.deployment.groupNames)
                     || !each.deployment.customerNames.equals(first.deployment.customerNames)) {
-                throw new CaptureException(each.file + ": is of another fleet than " + first.file
+                throw new CaptureException(each.file + ": is not of the same fleet as " + first.file
                         + ": its groups or customers differ");
             }
         }
@@ -83,20 +86,21 @@
         for (int c = 0; c < captures.size(); c++) {
             Capture each = captures.get(c);
             if (!each.complete) {
-                remarks.add(each.file.getFileName() + " was not ended in its order: read up to its last whole part"
-                        + (each.cutBytes > 0 ? ", " + each.cutBytes + " bytes left out" : ""));
+                remarks.add(each.file.getFileName()
+                        + " was not closed by its recorder: read up to its last complete part"
+                        + (each.cutBytes > 0 ? ", " + each.cutBytes + " bytes ignored" : ""));
             }
             if (each.droppedRows > 0) {
-                remarks.add(each.file.getFileName() + " lacks " + each.droppedRows + " exchanges that found no room");
+                remarks.add(each.file.getFileName() + " lacks " + each.droppedRows + " exchanges that were dropped");
             }
             if (clockOffsets.offset[c] != 0) {
                 remarks.add("the clock of " + each.name + " was off by " + clockOffsets.offset[c] / 10.0
-                        + " ms and is set right");
+                        + " ms and is corrected");
             }
         }
         if (captures.size() > 1 && !clockOffsets.allCompared()) {
-            remarks.add("the clocks could not all be compared, as too few exchanges came to two relays: they are taken "
-                    + "as they are");
+            remarks.add("the clocks could not all be compared, as too few exchanges reached two instances: those "
+                    + "that could not be compared are not corrected");
         }
     }
 
@@ -112,7 +116,10 @@
         return captureOf(i).answeredAt[row[i]] - clockOffsets.offset[capture[i]];
     }
 
-    /** Chains of rows that look alike: each is judged by the one before it, and by the age of the chain's first. */
+    /**
+     * Marks retries. A row is one if it may follow the previous row of the same signature, and if the first row of
+     * this chain is not too old.
+     */
     private void markRetries() {
         Map<ClockOffsets.RequestSignature, int[]> chains = new HashMap<>();
         for (int i = 0; i < rows; i++) {
@@ -128,23 +135,25 @@
         }
     }
 
+    /** Returns the timeout of the group of a row: no attempt of the same exchange is older. */
     private long maxAge(int i) {
         Capture capture = captureOf(i);
         return capture.deployment.deployment.groups.get(capture.group[row[i]]).asyncTimeout;
     }
 
+    /** Whether a row that arrived at {@code time} may be a retry of an earlier row of the same signature. */
     private boolean mayFollow(int before, int i, long time) {
         boolean completed = captureOf(before).answerKind[row[before]] == Recorder.COMPLETED;
         return completed ? answeredAt(before) > time + MAX_EARLY_TENTHS_MS : time >= arrivedAt[before];
     }
 
     /**
-     * The same match against rows a while earlier, past the age of any exchange: what matches there is chance. Where
-     * little room is left before it this sees less, and the whole is scaled up by what it could see.
+     * Matches first attempts against rows that are too old to be of the same exchange, so that every match is a
+     * coincidence. Rows near the start of the captures have no such older rows and are not counted.
      */
     private double measureFalseRetryRatio() {
         long longest = 0;
-        for (vetchrill.control.EndpointGroup group : captures.get(0).deployment.deployment.groups) {
+        for (EndpointGroup group : captures.get(0).deployment.deployment.groups) {
             longest = Math.max(longest, group.asyncTimeout);
         }
         Map<ClockOffsets.RequestSignature, List<Integer>> rowsBySignature = new HashMap<>();
@@ -170,7 +179,7 @@
         return compared == 0 ? 0 : matched / (double) compared;
     }
 
-    /** The estimate of how many of the rows are first tries, with what chance took for further ones given back. */
+    /** Returns the estimated number of first attempts, corrected by those that coincidence marked as retries. */
     public double firstAttempts() {
         int first = 0;
         for (boolean each : retry) {
--- a/lab/src/main/java/vetchrill/capture/CaptureWriter.java
+++ b/lab/src/main/java/vetchrill/capture/CaptureWriter.java
@@ -2,6 +2,7 @@
 
 import java.io.IOException;
 import java.io.OutputStream;
+import java.nio.ByteBuffer;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.security.InvalidKeyException;
@@ -19,14 +20,22 @@
 import vetchrill.routing.Recorder;
 
 /**
- * Writes what an instance does to a capture file, from a thread of its own. Rows go round between two bounded rings:
- * the decision thread takes an empty one and gives it back filled, the writer the other way round, so that neither
- * waits for the other and no row is ever allocated. What finds no empty row is counted, and the count stands in the
- * next part.
+ * Records what an instance does in a capture file, from its own thread. Rows circulate between two bounded rings: the
+ * decision thread takes an empty row from one and puts it filled into the other, the writer returns it. So neither
+ * waits for the other, and no row is allocated after the start. An exchange for which there is no empty row is counted
+ * as dropped; the count is in the metadata of the next part.
  */
 public final class CaptureWriter implements Recorder {
     private static final System.Logger LOG = System.getLogger("vetchrill.capture");
     private static final int PART_ROWS = 4_096;
+    private static final int GAUGE_RING_ROWS = 256;
+    private static final long NS_PER_TENTH_MS = 100_000;
+    /** Column of {@link CaptureFormat#EXCHANGE_COLUMNS} that is not a whole number. */
+    private static final int SIZE_KB_COLUMN = 6;
+    private static final int WRITER_STACK_BYTES = 512 << 10;
+    private static final long ALLOCATOR_LIMIT_BYTES = 256L << 20;
+    private static final long CLOSE_TIMEOUT_S = 5;
+    /** Pause of the writer while there is nothing to write. */
     private static final long IDLE_PAUSE_NS = 2_000_000;
 
     private final CaptureConfig settings;
@@ -38,21 +47,21 @@
     private final SpscArrayQueue<GaugeRow> emptyGauges;
     private final SpscArrayQueue<GaugeRow> gauges;
     private final ThreadLocal<Mac> mac;
-    private final RootAllocator allocator = new RootAllocator(256L << 20);
+    private final RootAllocator allocator = new RootAllocator(ALLOCATOR_LIMIT_BYTES);
     private final VectorSchemaRoot exchangeTable;
     private final VectorSchemaRoot gaugeTable;
     private final Thread writer;
     private volatile boolean closing;
-    /** Written by the decision thread only. */
+    /** Exchanges for which there was no empty row; written by the decision thread only. */
     private volatile long droppedRows;
     private int exchangeCount;
     private int gaugeCount;
-    /** Of the writer alone: rows that the bound on the file left out. */
+    /** Rows left out as the file has reached its limit; used by the writer only. */
     private long rowsBeyondLimit;
     private long writtenBytes;
     private boolean limitReached;
 
-    /** {@code provenance} says what the rows are of; see {@link Capture} for the names it must have. */
+    /** {@code provenance} is the metadata of each part; {@link Capture} lists the keys that it must have. */
     public CaptureWriter(CaptureConfig settings, Map<String, String> provenance) throws IOException {
         this.settings = settings;
         this.provenance = new LinkedHashMap<>(provenance);
@@ -63,23 +72,24 @@
         out = Files.newOutputStream(file);
         emptyExchanges = new SpscArrayQueue<>(settings.ringRows);
         exchanges = new SpscArrayQueue<>(settings.ringRows);
-        emptyGauges = new SpscArrayQueue<>(256);
-        gauges = new SpscArrayQueue<>(256);
+        emptyGauges = new SpscArrayQueue<>(GAUGE_RING_ROWS);
+        gauges = new SpscArrayQueue<>(GAUGE_RING_ROWS);
         for (int i = 0; i < settings.ringRows; i++) {
             emptyExchanges.offer(new ExchangeRow());
         }
-        for (int i = 0; i < 256; i++) {
+        for (int i = 0; i < GAUGE_RING_ROWS; i++) {
             emptyGauges.offer(new GaugeRow());
         }
         mac = ThreadLocal.withInitial(this::createMac);
         exchangeTable = VectorSchemaRoot.create(CaptureFormat.schema(CaptureFormat.EXCHANGES, this.provenance),
                 allocator);
         gaugeTable = VectorSchemaRoot.create(CaptureFormat.schema(CaptureFormat.GAUGES, this.provenance), allocator);
-        writer = new Thread(null, this::runWriter, "capture", 512 << 10);
+        writer = new Thread(null, this::runWriter, "capture", WRITER_STACK_BYTES);
         writer.setDaemon(true);
         writer.start();
     }
 
+    /** Returns the path of the capture file. */
     public Path file() {
         return file;
     }
@@ -98,11 +108,11 @@
     public long subject(byte[] buf, int from, int to) {
         Mac subjectMac = mac.get();
         subjectMac.update(buf, from, to - from);
-        long value = java.nio.ByteBuffer.wrap(subjectMac.doFinal()).getLong();
+        long value = ByteBuffer.wrap(subjectMac.doFinal()).getLong();
         return value == 0 ? 1 : value;
     }
 
-    // On the decision thread.
+    // Called on the decision thread.
 
     @Override
     public ExchangeRow claimExchangeRow() {
@@ -128,12 +138,12 @@
         gauges.offer(row);
     }
 
-    // On the writer's thread.
+    // Called on the writer's thread.
 
     private void runWriter() {
-        long flushAt = System.nanoTime() + settings.flushPeriod * 100_000;
+        long flushAt = System.nanoTime() + settings.flushPeriod * NS_PER_TENTH_MS;
         try {
-            // Whose rows they would be is in the file from the first moment, however soon the process is killed.
+            // The metadata is in the file from the start, even if the process is killed before it records a row.
             write(exchangeTable, CaptureFormat.EXCHANGES);
             out.flush();
             while (true) {
@@ -142,7 +152,7 @@
                 long now = System.nanoTime();
                 if (last || now >= flushAt) {
                     flush();
-                    flushAt = now + settings.flushPeriod * 100_000;
+                    flushAt = now + settings.flushPeriod * NS_PER_TENTH_MS;
                 }
                 if (last) {
                     writeEnd();
@@ -153,8 +163,8 @@
                 }
             }
         } catch (IOException | RuntimeException e) {
-            // The instance goes on serving: from here on its rows find no room and are counted, by no file any more.
-            LOG.log(System.Logger.Level.ERROR, "the capture has ended early: {0}", e.toString());
+            // The instance continues to serve. Its rings fill up, so further exchanges are dropped.
+            LOG.log(System.Logger.Level.ERROR, "recording has stopped: {0}", e.toString());
         }
     }
 
@@ -182,12 +192,11 @@
     private void fill(ExchangeRow row) {
         int index = exchangeCount;
         long[] values = {row.arrivedAt, row.dequeuedAt - row.arrivedAt, row.group, row.customer, row.stubNumber,
-                row.subject, 0,
-            row.bytes, row.startedAt, row.runDuration, row.answeredAt, row.answerKind, row.retryAfter,
+            row.subject, 0, row.bytes, row.startedAt, row.runDuration, row.answeredAt, row.answerKind, row.retryAfter,
             row.noRetry ? 1 : 0};
         for (int i = 0; i < values.length; i++) {
             FieldVector column = exchangeTable.getVector(i);
-            if (i == 6) {
+            if (i == SIZE_KB_COLUMN) {
                 CaptureFormat.set(column, index, (double) row.kb);
             } else {
                 CaptureFormat.set(column, index, values[i]);
@@ -221,15 +230,17 @@
 
     private void write(VectorSchemaRoot rows, byte table) throws IOException {
         provenance.put("lost", Long.toString(droppedRows + rowsBeyondLimit));
-        // It shares the columns, so that only the owner of those closes them.
+        // This table shares the columns of the other, which closes them, so it is not closed here.
         byte[] part = CaptureFormat.encode(new VectorSchemaRoot(CaptureFormat.schema(table, provenance),
                 rows.getFieldVectors(),
                 rows.getRowCount()), table);
         if (writtenBytes + part.length > settings.maxBytes) {
-            // What the disk was promised to be spared counts as lost.
+            // Rows past the limit on the file count as dropped.
             rowsBeyondLimit += table == CaptureFormat.EXCHANGES ? rows.getRowCount() : 0;
             if (!limitReached) {
-                LOG.log(System.Logger.Level.WARNING, "the capture has reached its {0} MB", settings.maxBytes >> 20);
+                LOG.log(System.Logger.Level.WARNING,
+                        "the capture file has reached its limit of {0} MB; further rows are dropped",
+                        settings.maxBytes >> 20);
             }
             limitReached = true;
             return;
@@ -248,12 +259,12 @@
         out.close();
     }
 
-    /** On any other thread, once nothing is put any more; what was put is written. */
+    /** Writes all rows that were put, and the end part. Called on another thread, after the last row was put. */
     @Override
     public void close() {
         closing = true;
         try {
-            writer.join(TimeUnit.SECONDS.toMillis(5));
+            writer.join(TimeUnit.SECONDS.toMillis(CLOSE_TIMEOUT_S));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/lab/src/main/java/vetchrill/capture/ClockOffsets.java
+++ b/lab/src/main/java/vetchrill/capture/ClockOffsets.java
@@ -8,22 +8,23 @@
 import vetchrill.routing.Recorder;
 
 /**
- * By how much the clocks of the captured relays differ, as far as the rows tell. A stub that is denied at one relay and
- * asks another leaves two rows of one exchange; what lies between them is the stub's pause and the network, which is
- * the same in both directions, and the difference of the two clocks, which is not.
+ * Estimates by how much the clocks of the captured instances differ. A stub that is denied at one instance and retries
+ * at another leaves two rows of one exchange. The gap between them is the stub's pause and the network delay, which
+ * are the same in both directions, plus the difference of the two clocks, which has the opposite sign in the other
+ * direction.
  */
 public final class ClockOffsets {
-    /** What counts as the same gap, in tenths of a millisecond. */
+    /** Gaps that differ by at most this are counted as equal. */
     private static final long CLUSTER_WIDTH_TENTHS_MS = 100;
-    /** Gaps past this are of different exchanges, or of clocks that no plan should be made from. */
+    /** Longer gaps are between different exchanges, or clocks differ too much to plan from the captures. */
     private static final long MAX_GAP_TENTHS_MS = 600_000;
     private static final int MIN_CLUSTER_SIZE = 4;
-    /** Differences under this are left: the pauses themselves vary by as much. */
+    /** Smaller offsets are ignored: the pauses of stubs vary by as much. */
     private static final long MIN_OFFSET_TENTHS_MS = 50;
 
-    /** Tenths of a millisecond to be taken off the times of each capture. */
+    /** By capture: tenths of a millisecond to subtract from its times. */
     public final long[] offset;
-    /** Captures whose clock could be compared with that of the first, itself included. */
+    /** By capture: whether its clock could be compared with that of the first; true for the first. */
     public final boolean[] compared;
 
     private ClockOffsets(int n) {
@@ -31,6 +32,7 @@
         compared = new boolean[n];
     }
 
+    /** Whether the clocks of all captures could be compared. */
     public boolean allCompared() {
         for (boolean each : compared) {
             if (!each) {
@@ -40,7 +42,7 @@
         return true;
     }
 
-    /** What two tries of one exchange have in common, wherever they came. */
+    /** The values that all attempts of one exchange have in common, at any instance. */
     record RequestSignature(long stub, int customer, byte group, long subject, int bodyBytes, float sizeKb) {
         static RequestSignature of(Capture capture, int row) {
             return new RequestSignature(capture.stub[row], capture.customer[row], capture.group[row],
@@ -52,6 +54,7 @@
     private record CaptureRow(int capture, int row) {
     }
 
+    /** Estimates the offsets from all pairs of a denied and a completed attempt at different instances. */
     public static ClockOffsets of(List<Capture> captures) {
         int n = captures.size();
         ClockOffsets clocks = new ClockOffsets(n);
@@ -65,8 +68,8 @@
         long[][][] gaps = new long[n][n][0];
         int[][] counts = new int[n][n];
         for (List<CaptureRow> rows : rowsBySignature.values()) {
-            // One that was denied here and completed there: which came first is known whatever the clocks say. Where
-            // there are more, any of them may have come before any other.
+            // With one denied and one completed attempt the order is known, whatever the clocks are. With more than
+            // two attempts it is not.
             if (rows.size() != 2) {
                 continue;
             }
@@ -116,7 +119,7 @@
             compared[0] = true;
         }
         double[] solved = new double[n];
-        // The strongest link first: a tree over the relays.
+        // A maximum spanning tree over the instances, by the number of gaps that agree.
         for (int round = 1; round < n; round++) {
             int bestFrom = -1;
             int bestTo = -1;
@@ -140,12 +143,12 @@
         }
     }
 
-    /** Enough of them agree, and most of them do: else their pauses vary, and tell nothing of the clocks. */
+    /** Whether enough gaps agree, and more than half do; else the pauses vary too much to compare the clocks. */
     private static boolean isConclusive(long[] cluster, int gapCount) {
         return cluster[1] >= MIN_CLUSTER_SIZE && 2 * cluster[1] > gapCount;
     }
 
-    /** The middle of the narrow span that holds most, and how many it holds. */
+    /** Returns the median of the largest cluster of gaps, and how many gaps are in it. */
     private static long[] densestCluster(long[] gaps, int count) {
         long[] sorted = Arrays.copyOf(gaps, count);
         Arrays.sort(sorted);
--- a/lab/src/test/java/vetchrill/capture/CaptureTest.java
+++ b/lab/src/test/java/vetchrill/capture/CaptureTest.java
@@ -33,7 +33,7 @@
                 Map.of("name", name, "started", "1", "settings", SETTINGS));
     }
 
-    /** One row: a try of {@code subject} that comes at a time and is answered 20 ms later. */
+    /** Records one attempt for {@code subject}, which arrives at {@code at} and is answered 20 ms later. */
     static void put(CaptureWriter writer, long at, long subject, byte answer) {
         Recorder.ExchangeRow row = writer.claimExchangeRow();
         if (row != null) {
@@ -67,7 +67,7 @@
         return Files.readAllBytes(writer.file());
     }
 
-    public void whatWasPutIsReadBack() throws Exception {
+    public void readsBackWhatWasWritten() throws Exception {
         Capture capture = Capture.read(Path.of("x"), written(100));
         assertTrue(capture.complete);
         assertEquals(capture.rows, 100);
@@ -81,48 +81,54 @@
         }
     }
 
-    /** The relay is killed at any moment: what is left is read up to its last whole part, and says so. */
-    public void aFileCutAnywhereIsReadUpToItsLastWholePart() throws Exception {
+    /**
+     * An instance may be killed at any time: its file is readable up to the last complete part, and not marked as
+     * complete.
+     */
+    public void readsATruncatedFileUpToItsLastCompletePart() throws Exception {
         byte[] all = written(60);
-        SplittableRandom chance = new SplittableRandom(1);
+        SplittableRandom random = new SplittableRandom(1);
         int most = 0;
         for (int i = 0; i < 300; i++) {
-            int length = 1 + chance.nextInt(all.length - 1);
+            int length = 1 + random.nextInt(all.length - 1);
             try {
                 Capture cut = Capture.read(Path.of("x"), java.util.Arrays.copyOf(all, length));
-                assertFalse(cut.complete && cut.cutBytes > 0, "cut at " + length);
+                assertFalse(cut.complete && cut.cutBytes > 0, "truncated at " + length);
                 assertTrue(cut.rows <= 60);
                 most = Math.max(most, cut.rows);
             } catch (CaptureException e) {
-                assertTrue(e.getMessage().endsWith("holds no whole part"), e.getMessage());
+                assertTrue(e.getMessage().endsWith("has no complete part"), e.getMessage());
             }
         }
-        assertTrue(most > 0, "never read a row");
+        assertTrue(most > 0, "no truncated file had a readable row");
     }
 
-    /** Never a wrong plan: one changed byte anywhere is found, or it was one that carries nothing. */
-    public void aDamagedFileIsRefused() throws Exception {
+    /** Any flipped bit is detected, so that no plan is made from damaged data. */
+    public void rejectsADamagedFile() throws Exception {
         byte[] all = written(60);
-        SplittableRandom chance = new SplittableRandom(2);
+        SplittableRandom random = new SplittableRandom(2);
         for (int i = 0; i < 400; i++) {
             byte[] damaged = all.clone();
-            int at = chance.nextInt(all.length);
-            damaged[at] ^= (byte) (1 << chance.nextInt(8));
+            int at = random.nextInt(all.length);
+            damaged[at] ^= (byte) (1 << random.nextInt(8));
             try {
                 Capture read = Capture.read(Path.of("x"), damaged);
-                // A length that grew past the end looks like a cut, and is told as one.
-                assertTrue(read.cutBytes > 0, "not noticed at " + at);
+                // A length that grew past the end of the file looks like a truncated part.
+                assertTrue(read.cutBytes > 0, "damage was not detected at " + at);
             } catch (CaptureException e) {
                 assertTrue(e.getMessage().startsWith("x: "), e.getMessage());
             }
         }
     }
 
-    /** Found by fuzzing: a part whose sum was right and which claimed two gigabytes took them before it was refused. */
-    public void aPartThatClaimsMoreThanItHoldsIsRefusedBeforeRoomIsMadeForIt() throws Exception {
+    /**
+     * Found by fuzzing: a part with a valid checksum that declared a message of two gigabytes had them allocated before
+     * it was rejected.
+     */
+    public void rejectsAnExcessiveDeclaredLengthBeforeAllocation() throws Exception {
         byte[] damaged = written(60);
         int length = CaptureFormat.getInt(damaged, 8);
-        // The size of the first message, behind the word that says that one follows.
+        // The length of the first message, after the continuation marker.
         for (int i = 0; i < 4; i++) {
             damaged[CaptureFormat.HEADER_BYTES + 4 + i] = (byte) (i == 3 ? 0x7f : 0xff);
         }
@@ -132,26 +138,26 @@
         try {
             Capture.read(Path.of("x"), damaged);
         } catch (CaptureException e) {
-            assertEquals(e.getMessage(), "x: a part claims more than it holds");
+            assertEquals(e.getMessage(), "x: a part declares more data than it has");
             return;
         }
-        throw new AssertionError("taken as it is");
+        throw new AssertionError("the damaged capture was accepted");
     }
 
-    public void whatFindsNoRoomIsCountedAndTheCountIsInTheFile() throws Exception {
+    public void countsDroppedRowsInTheFile() throws Exception {
         CaptureWriter writer = writer(folder(), "r1", " ring_rows = 64\n");
         int n = 0;
-        // Faster than any writer: the ring must fill.
+        // Faster than the writer can follow, so that the ring fills up.
         while (n < 200_000) {
             put(writer, 1_000_000 + n++, 1, Recorder.COMPLETED);
         }
         writer.close();
         Capture capture = Capture.read(writer.file());
-        assertTrue(capture.droppedRows > 0, "nothing was lost of " + n);
+        assertTrue(capture.droppedRows > 0, "no row of " + n + " was dropped");
         assertEquals(capture.rows + capture.droppedRows, n);
     }
 
-    public void aFileGrowsNoFurtherThanItMay() throws Exception {
+    public void keepsTheFileWithinItsLimit() throws Exception {
         CaptureWriter writer = writer(folder(), "r1", " most_mb = 1\n");
         for (int i = 0; i < 60_000; i++) {
             put(writer, 1_000_000 + i, 1 + i, Recorder.COMPLETED);
@@ -164,8 +170,8 @@
         assertTrue(Capture.read(writer.file()).droppedRows > 0);
     }
 
-    /** Two relays, the clock of one 300 ms ahead: tries denied at one come to the other at once. */
-    public void clocksThatDifferAreFoundAndSetRight() throws Exception {
+    /** Two instances, the clock of one 300 ms ahead: attempts denied at one are retried at the other at once. */
+    public void correctsClockOffsets() throws Exception {
         Path folder = folder();
         CaptureWriter one = writer(folder, "r1", "");
         CaptureWriter two = writer(folder, "r2", "");
@@ -183,7 +189,7 @@
         assertEquals(merged.firstAttempts(), 40, 0.5);
     }
 
-    public void clocksThatCannotBeComparedAreSaidToBe() throws Exception {
+    public void remarksThatClocksCouldNotBeCompared() throws Exception {
         Path folder = folder();
         for (String name : List.of("r1", "r2")) {
             CaptureWriter writer = writer(folder, name, "");
@@ -198,8 +204,8 @@
                 merged.remarks.toString());
     }
 
-    /** An honest equal exchange after a result is a first try again; after a denial it is a further one. */
-    public void whatFollowsADenialIsAFurtherTryAndWhatFollowsAResultIsNot() throws Exception {
+    /** An equal request after a result is a first attempt; after a denial it is a retry. */
+    public void marksRequestsAfterADenialAsRetries() throws Exception {
         Path folder = folder();
         CaptureWriter writer = writer(folder, "r1", "");
         put(writer, 1_000_000, 7, Recorder.DENIED);
@@ -209,14 +215,14 @@
         put(writer, 1_900_000, 7, Recorder.COMPLETED);
         writer.close();
         CaptureMerge merged = new CaptureMerge(Capture.readAll(folder));
-        List<Boolean> further = new ArrayList<>();
+        List<Boolean> retries = new ArrayList<>();
         for (boolean each : merged.retry) {
-            further.add(each);
+            retries.add(each);
         }
-        assertEquals(further, List.of(false, true, true, false, false));
+        assertEquals(retries, List.of(false, true, true, false, false));
     }
 
-    public void anOrderWithMistakesNamesThem() {
+    public void reportsErrorsOfTheConfiguration() {
         try {
             ConfigBlock root = ConfigBlock.parse("o.hcl",
                     "capture {\n directory = \"x\"\n zone = \"z\"\n subject_key = \"12\"\n"
@@ -225,10 +231,10 @@
             root.check();
         } catch (ConfigErrors e) {
             assertEquals(e.messages, List.of("o.hcl:1: kind: is missing in capture, should be a quoted string",
-                    "o.hcl:4: subject_key: should be 32 hexadecimal digits, the same on every relay",
+                    "o.hcl:4: subject_key: should be 32 hexadecimal digits, the same on every instance",
                     "o.hcl:5: ring_rows: is 3, should be a number from 64 to 1048576"));
             return;
         }
-        throw new AssertionError("taken as it is");
+        throw new AssertionError("the configuration was accepted");
     }
 }
