--- a/lab/src/main/java/vetchrill/tool/CompositeRecorder.java
+++ b/lab/src/main/java/vetchrill/tool/CompositeRecorder.java
@@ -2,7 +2,7 @@
 
 import vetchrill.routing.Recorder;
 
-/** Two that write down what one instance does. */
+/** Passes records on to two recorders; subjects and gauges go to the second one only. */
 final class CompositeRecorder implements Recorder {
     private final Recorder first;
     private final Recorder second;
@@ -13,7 +13,7 @@
         this.second = second;
     }
 
-    /** Either may be null. */
+    /** Combines two recorders, either of which may be null. */
     static Recorder combine(Recorder first, Recorder second) {
         return first == null ? second : second == null ? first : new CompositeRecorder(first, second);
     }
--- a/lab/src/main/java/vetchrill/tool/CostCommand.java
+++ b/lab/src/main/java/vetchrill/tool/CostCommand.java
@@ -29,51 +29,52 @@
 import vetchrill.standin.StubFrames;
 
 /**
- * What one exchange costs an instance, of the text of an earlier commit against today's: each in turn, held to one
- * core, as many as it can do, runs that take no time.
+ * Compares the core time per exchange of an instance between two builds. Both run in turn, pinned to one core, at their
+ * maximum throughput, with runs that take no time.
  */
 @Command(name = "cost", mixinStandardHelpOptions = true,
-        description = "Flood an instance of each of two jars in turn, each held to one core; core time an exchange of "
-                + "both, by connections.")
+        description = "Measure the core time per exchange of two jars, by number of connections: an instance of each "
+                + "in turn, pinned to one core and saturated.")
 final class CostCommand implements Callable<Integer> {
     private static final int EXCHANGES_PER_CONNECTION = 8;
     private static final int WARM_UP_MS = 2_000;
 
-    @Parameters(index = "0", paramLabel = "THEN", description = "The instance's jar as it was.")
+    @Parameters(index = "0", paramLabel = "THEN", description = "The jar of the old instance.")
     private Path oldJar;
 
-    @Parameters(index = "1", paramLabel = "NOW", description = "And as it is.")
+    @Parameters(index = "1", paramLabel = "NOW", description = "The jar of the new instance.")
     private Path newJar;
 
     @Option(names = "--commit", defaultValue = "?",
-            description = "What the first one was built from, for the last line.")
+            description = "The commit of the old jar, for the last line.")
     private String commit;
 
-    @Option(names = "--connections", split = ",", defaultValue = "1,4,16,40", description = "With "
-            + EXCHANGES_PER_CONNECTION + " exchanges open on each (${DEFAULT-VALUE}).")
+    @Option(names = "--connections", split = ",", defaultValue = "1,4,16,40", description = "Numbers of "
+            + "connections, with " + EXCHANGES_PER_CONNECTION + " open exchanges each (${DEFAULT-VALUE}).")
     private List<Integer> connections;
 
-    @Option(names = "--rounds", defaultValue = "5", description = "Of each jar (${DEFAULT-VALUE}).")
+    @Option(names = "--rounds", defaultValue = "5", description = "Rounds per jar (${DEFAULT-VALUE}).")
     private int rounds;
 
-    @Option(names = "--seconds", defaultValue = "3", description = "Of each round that are counted (${DEFAULT-VALUE}).")
+    @Option(names = "--seconds", defaultValue = "3",
+            description = "Measured seconds of each round (${DEFAULT-VALUE}).")
     private int seconds;
 
-    @Option(names = "--java", paramLabel = "OPTION", description = "Further options of the instances' runtime.")
+    @Option(names = "--java", paramLabel = "OPTION", description = "Additional JVM options of the instances.")
     private List<String> javaOptions = List.of();
 
-    @Option(names = "--audit", description = "The second one with versions and a record, as an operator's file says, "
-            + "and with peers that are not there.")
+    @Option(names = "--audit", description = "Run the new jar with versions and an audit log, as configured in an "
+            + "operator file, and with unreachable peers.")
     private boolean audit;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
         double[] medianSums = new double[2];
-        System.out.println("core time an exchange in us: the least, the middle and the most of the rounds of each");
+        System.out.println("core time per exchange in us: minimum, median and maximum over the rounds of each jar");
         for (int connectionCount : connections) {
             double[][] coreTimesUs = new double[2][rounds];
             for (int round = 0; round < rounds; round++) {
-                // Whatever else the machine does falls on both, and neither is always the first.
+                // The jars alternate, so that other load on the machine affects both and neither is always first.
                 for (int i = 0; i < 2; i++) {
                     int jarIndex = (round + i) % 2;
                     coreTimesUs[jarIndex][round] = measureCoreTimeUs(jarIndex == 0 ? oldJar : newJar, connectionCount,
@@ -86,9 +87,8 @@
             }
             System.out.printf(Locale.ROOT,
                     "%3d connections: then %.2f %.2f %.2f, now %.2f %.2f %.2f, ratio %.3f%n", connectionCount,
-                    coreTimesUs[0][0],
-                    coreTimesUs[0][rounds / 2], coreTimesUs[0][rounds - 1], coreTimesUs[1][0],
-                    coreTimesUs[1][rounds / 2], coreTimesUs[1][rounds - 1],
+                    coreTimesUs[0][0], coreTimesUs[0][rounds / 2], coreTimesUs[0][rounds - 1],
+                    coreTimesUs[1][0], coreTimesUs[1][rounds / 2], coreTimesUs[1][rounds - 1],
                     coreTimesUs[1][rounds / 2] / coreTimesUs[0][rounds / 2]);
         }
         System.out.printf(Locale.ROOT, "measure cost: commit=%s us_then=%.2f us_now=%.2f ratio=%.3f%n", commit,
@@ -150,7 +150,7 @@
         List<Socket> sockets = new ArrayList<>();
         try {
             if (!started.await(20, TimeUnit.SECONDS)) {
-                throw new IOException(jar + " does not come up");
+                throw new IOException(jar + " did not start in time");
             }
             AtomicLong answered = new AtomicLong();
             AtomicLong ids = new AtomicLong();
@@ -199,7 +199,7 @@
                 }
             }
         } catch (IOException e) {
-            // The round is over.
+            // The socket is closed at the end of the round.
         }
     }
 
--- a/lab/src/main/java/vetchrill/tool/FleetCommand.java
+++ b/lab/src/main/java/vetchrill/tool/FleetCommand.java
@@ -1,5 +1,6 @@
 package vetchrill.tool;
 
+import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
@@ -19,16 +20,19 @@
 import vetchrill.peers.PeerClient;
 import vetchrill.protocol.DeploymentReader;
 
-@Command(name = "fleet", mixinStandardHelpOptions = true, description = "Speak to instances that hear each other.",
+/** Commands that query instances of a fleet with peers and send them orders. */
+@Command(name = "fleet", mixinStandardHelpOptions = true,
+        description = "Query and control the instances of a fleet with peers.",
         subcommands = {FleetCommand.StatusCommand.class, FleetCommand.PublishCommand.class,
             FleetCommand.FloorCommand.class, FleetCommand.HaltCommand.class, FleetCommand.VersionsCommand.class})
 final class FleetCommand {
     private FleetCommand() {
     }
 
-    /** What is ordered from one instance, for all. */
+    /** Base of the commands that send an order to one instance, which passes it on to the fleet. */
     abstract static class OrderCommand implements Callable<Integer> {
-        @Parameters(index = "0", paramLabel = "ADDRESS", description = "Where it listens to peers, as 10.0.0.4:7565.")
+        @Parameters(index = "0", paramLabel = "ADDRESS",
+                description = "The address on which the instance accepts peers, such as 10.0.0.4:7565.")
         private String address;
 
         JsonNode send(ObjectNode order) throws IOException {
@@ -44,7 +48,7 @@
             return DeploymentReader.JSON.createObjectNode().put("order", name);
         }
 
-        /** 1 and a line where it was not done. */
+        /** Prints the result and returns the exit code, 1 with an error message if the order failed. */
         int printResult(JsonNode answer, String successLine) {
             if (answer.has("error")) {
                 System.err.println("vetchrill: " + answer.path("name").asText() + ": "
@@ -57,22 +61,22 @@
     }
 
     @Command(name = "versions", mixinStandardHelpOptions = true,
-            description = "What one instance holds of versions, floors and who decides by what.")
+            description = "Show versions, floors and the active version of each instance, as known to one instance.")
     static final class VersionsCommand extends OrderCommand {
         @Override
         public Integer call() throws IOException {
             JsonNode status = send(newOrder("status"));
-            System.out.printf("%s decides by version %d; floor %d, confirmed %d; %s%n", status.path("name").asText(),
+            System.out.printf("%s: active version %d; floor %d, confirmed %d; %s%n", status.path("name").asText(),
                     status.path("taken").asLong(), status.path("floor").asLong(), status.path("confirmed").asLong(),
-                    status.path("barred").asBoolean() ? "SHUT OUT" : status.has("lease_ms") ? "lease for "
+                    status.path("barred").asBoolean() ? "BARRED" : status.has("lease_ms") ? "lease for "
                             + status.path("lease_ms").asLong() + " ms" : "no lease");
             status.path("versions").forEach(each -> System.out.printf("version %d by %s, %s..., %d s old%s%n",
                     each.path("number").asLong(), each.path("author").asText(),
                     each.path("digest").asText().substring(0, 12), each.path("age_ms").asLong() / 1000,
                     each.path("stopped").asText().isEmpty() ? "" : ", STOPPED: " + each.path("stopped").asText()));
-            status.path("keepers").forEach(each -> System.out.printf("keeper %s holds floor %d in life %d%n",
+            status.path("keepers").forEach(each -> System.out.printf("voter %s: floor %d, incarnation %d%n",
                     each.path("name").asText(), each.path("floor").asLong(), each.path("life").asLong()));
-            status.path("instances").forEach(each -> System.out.printf("%-20s version %d, heard %d ms ago %s%n",
+            status.path("instances").forEach(each -> System.out.printf("%-20s version %d, last message %d ms ago %s%n",
                     each.path("name").asText(), each.path("taken").asLong(), each.path("heard_ms").asLong(),
                     each.path("why").asText()));
             return status.has("error") ? 1 : 0;
@@ -80,23 +84,26 @@
     }
 
     @Command(name = "publish", mixinStandardHelpOptions = true,
-            description = "Publish settings as a new version: FILE is a configuration or the settings of one.")
+            description = "Publish settings as a new version: FILE is a configuration, or only its settings.")
     static final class PublishCommand extends OrderCommand {
         @Parameters(index = "1", paramLabel = "FILE")
         private Path file;
 
-        @Option(names = "--number", description = "One above the highest known where not given.")
+        @Option(names = "--number", description = "Number of the version; by default one above the highest known.")
         private Long number;
 
         @Option(names = "--stage", paramLabel = "ZONE=SHARE",
-                description = "Who may take it next, as reykjavik=0.1; =0.5 for half of all zones. All at once where "
-                        + "none is given; the last should be =1.")
+                description = "Zone and share of its instances that may activate the version next, such as "
+                        + "reykjavik=0.1; =0.5 for half of the instances of all zones. By default all at once; "
+                        + "the last stage should be =1.")
         private List<String> stages = List.of();
 
-        @Option(names = "--hold-ms", defaultValue = "60000", description = "Between two stages (${DEFAULT-VALUE}).")
+        @Option(names = "--hold-ms", defaultValue = "60000",
+                description = "Time between two stages (${DEFAULT-VALUE}).")
         private long holdMs;
 
-        @Option(names = "--text", defaultValue = "", description = "Digest of the only program that may take it.")
+        @Option(names = "--text", defaultValue = "",
+                description = "Digest of the only program that may activate the version.")
         private String text;
 
         @Override
@@ -104,8 +111,8 @@
             JsonNode content;
             try {
                 content = DeploymentReader.JSON.readTree(Files.readAllBytes(file));
-            } catch (com.fasterxml.jackson.core.JsonProcessingException e) {
-                throw new UsageException(file + ":" + e.getLocation().getLineNr() + ": no JSON: "
+            } catch (JsonProcessingException e) {
+                throw new UsageException(file + ":" + e.getLocation().getLineNr() + ": invalid JSON: "
                         + e.getOriginalMessage());
             }
             JsonNode settings = content.has("settings") ? content.path("settings") : content;
@@ -128,13 +135,14 @@
     }
 
     @Command(name = "floor", mixinStandardHelpOptions = true,
-            description = "From now on nothing is begun under this version; one lease after it is confirmed, nowhere.")
+            description = "Raise the floor: no exchange starts below this version any more, on any instance once one "
+                    + "lease has passed after the confirmation.")
     static final class FloorCommand extends OrderCommand {
         @Parameters(index = "1", paramLabel = "NUMBER")
         private long number;
 
         @Option(names = "--wait", defaultValue = "10",
-                description = "Seconds to wait until more than half of the keepers hold it (${DEFAULT-VALUE}).")
+                description = "Seconds to wait for a majority of the voters to store the floor (${DEFAULT-VALUE}).")
         private double waitSeconds;
 
         @Override
@@ -147,8 +155,8 @@
                 answer = send(newOrder("status"));
             }
             if (!answer.has("error") && answer.path("confirmed").asLong() < number) {
-                System.err.println("vetchrill: the floor " + number + " is ordered and not confirmed: too few keepers "
-                        + "were heard");
+                System.err.println("vetchrill: the floor " + number + " was ordered but not confirmed: no majority of "
+                        + "the voters replied in time");
                 return 1;
             }
             return printResult(answer, "confirmed: floor=" + number);
@@ -156,7 +164,8 @@
     }
 
     @Command(name = "halt", mixinStandardHelpOptions = true,
-            description = "Nobody else takes this version; who has it keeps it until a higher one is published.")
+            description = "Stop the rollout of a version: instances on which it is active keep it until a higher one "
+                    + "is published, no other instance activates it.")
     static final class HaltCommand extends OrderCommand {
         @Parameters(index = "1", paramLabel = "NUMBER")
         private long number;
@@ -168,9 +177,10 @@
     }
 
     @Command(name = "status", mixinStandardHelpOptions = true,
-            description = "What one instance holds of the others. Exit code 1 where it does not answer.")
+            description = "Show the members of the fleet as known to one instance. Exit code 1 if it does not answer.")
     static final class StatusCommand implements Callable<Integer> {
-        @Parameters(paramLabel = "ADDRESS", description = "Where it listens to peers, as 10.0.0.4:7565.")
+        @Parameters(paramLabel = "ADDRESS",
+                description = "The address on which the instance accepts peers, such as 10.0.0.4:7565.")
         private String address;
 
         @Override
@@ -185,16 +195,15 @@
             message.updates().stream().sorted(Comparator.comparing(MemberInfo::name))
                     .forEach(StatusCommand::printMember);
             if (message.sequenceNumber() > 0) {
-                System.out.println(message.sender().name() + " distrusts itself by " + message.sequenceNumber()
-                        + " of 8: it was slow or paused of late");
+                System.out.println(message.sender().name() + " has a local health score of " + message.sequenceNumber()
+                        + " of 8: it was recently slow or paused");
             }
             return 0;
         }
 
         private static void printMember(MemberInfo member) {
             System.out.printf("%-20s %-10s %5d %5d  %s%n", member.name(), member.state(), member.incarnation(),
-                    member.refutations(),
-                    member.reportedBy());
+                    member.refutations(), member.reportedBy());
         }
     }
 }
--- a/lab/src/main/java/vetchrill/tool/Logback.java
+++ b/lab/src/main/java/vetchrill/tool/Logback.java
@@ -12,8 +12,8 @@
 import ch.qos.logback.core.spi.ContextAwareBase;
 
 /**
- * How logback writes here, found by it as a service: whoever logs first, a library included, it never falls back on
- * lines of its own on standard output, where answers are.
+ * Configures logback, which finds this class as a service. So its default configuration never applies, even if a
+ * library logs first, and writes no lines to standard output, which is for the output of commands.
  */
 public final class Logback extends ContextAwareBase implements Configurator {
     @Override
@@ -27,7 +27,7 @@
         root.addAppender(out);
         root.setLevel(Level.toLevel(System.getProperty(ToolLog.LEVEL_PROPERTY, System.getenv("VETCHRILL_LOG")),
                 Level.INFO));
-        // What the libraries say of themselves helps nobody who has not asked for it.
+        // Informational messages of libraries are noise here.
         context.getLogger("org.apache.arrow").setLevel(Level.WARN);
         context.getLogger("io.netty").setLevel(Level.WARN);
         return ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY;
--- a/lab/src/main/java/vetchrill/tool/MeasureCommand.java
+++ b/lab/src/main/java/vetchrill/tool/MeasureCommand.java
@@ -28,21 +28,23 @@
 import vetchrill.model.TimingWheelQueue;
 import vetchrill.model.FleetSimulation;
 
+/** Runs all measurements of the planner and of the recording. */
 @Command(name = "measure", mixinStandardHelpOptions = true, hidden = true,
-        description = "The planner's figures from nothing: what recording costs, how fast the model is, and the proof.")
+        description = "Measure the cost of recording, the speed of the simulation and the error of the planner.")
 final class MeasureCommand implements Callable<Integer> {
     private static final long MINUTE_TENTHS_MS = 600_000;
 
-    @Parameters(index = "0", paramLabel = "LARGE", description = "A fleet of 300 relays.")
+    @Parameters(index = "0", paramLabel = "LARGE", description = "A fleet of 300 instances.")
     private Path largeFleet;
 
-    @Parameters(index = "1", paramLabel = "SMALL", description = "The fleet of the proof.")
+    @Parameters(index = "1", paramLabel = "SMALL",
+            description = "The fleet for which plans are compared with measurements.")
     private Path smallFleet;
 
-    @Option(names = "--seeds", defaultValue = "3", description = "Runs of each case of the proof (${DEFAULT-VALUE}).")
+    @Option(names = "--seeds", defaultValue = "3", description = "Runs of each compared case (${DEFAULT-VALUE}).")
     private int seeds;
 
-    @Option(names = "--first-seed", defaultValue = "1", description = "The first of the seeds (${DEFAULT-VALUE}).")
+    @Option(names = "--first-seed", defaultValue = "1", description = "The first seed (${DEFAULT-VALUE}).")
     private int firstSeed;
 
     @Override
@@ -61,11 +63,11 @@
         System.gc();
         long usedBytes = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
         System.out.printf(Locale.ROOT,
-                "model: %d relays, %.0f first tries a second with %.2f tries each: a minute in %.2f s "
-                + "on one core with the wheel, %.2f s with the heap; %d events; heap bound %d MB, %d MB left in use%n",
+                "model: %d instances, %.0f first attempts per second, %.2f attempts each: a simulated minute takes "
+                + "%.2f s on one core with the timing wheel, %.2f s with the heap queue; %d events; JVM heap limit "
+                + "%d MB, %d MB in use%n",
                 fleet.instanceCount(), fleet.load.perSecond(), run.statistics().retryFactor(0, 60), wheelSeconds,
-                heapSeconds, run.eventCount(),
-                Runtime.getRuntime().maxMemory() >> 20, usedBytes >> 20);
+                heapSeconds, run.eventCount(), Runtime.getRuntime().maxMemory() >> 20, usedBytes >> 20);
         ProveCommand prove = new ProveCommand();
         new CommandLine(prove).parseArgs(smallFleet.toString(), "--seeds", Integer.toString(seeds), "--first-seed",
                 Integer.toString(firstSeed), "--beside", "3");
@@ -74,8 +76,8 @@
                 + "other_load_worst_points=%.1f other_load_mean_points=%.1f sim_relays=%d sim_seconds_per_minute=%.2f "
                 + "record_on_ns=%.0f record_off_ns=%.0f record_bytes=%.1f wheel_ns=%.0f heap_ns=%.0f runs=%d void=%d%n",
                 prove.worstError, prove.meanError, prove.otherLoadWorstError, prove.otherLoadMeanError,
-                fleet.instanceCount(), wheelSeconds, scores.get("on"),
-                scores.get("off"), scores.get("bytes"), scores.get("wheel"), scores.get("heap"), prove.runs,
+                fleet.instanceCount(), wheelSeconds, scores.get("on"), scores.get("off"),
+                scores.get("bytes"), scores.get("wheel"), scores.get("heap"), prove.runs,
                 prove.voidRuns);
         return code;
     }
@@ -102,7 +104,7 @@
             if (recording != null) {
                 scores.put(recording, ns);
                 if (recording.equals("on")) {
-                    // The writer's thread allocates too: this bounds what the decision thread does from above.
+                    // Includes allocations of the writer thread: an upper bound for the decision thread.
                     scores.put("bytes", result.getSecondaryResults().get("gc.alloc.rate.norm").getScore());
                 }
             } else if (result.getParams().getParam("waiting").equals("20000")) {
--- a/lab/src/main/java/vetchrill/tool/MembersCommand.java
+++ b/lab/src/main/java/vetchrill/tool/MembersCommand.java
@@ -9,10 +9,10 @@
 import vetchrill.members.MembershipConfig;
 import vetchrill.peersim.MembershipSimulation;
 
-/** What membership is worth: how soon a death is known, who is wrongly held dead, and what it costs to know. */
+/** Measures failure detection in simulated fleets: detection times, false positives and bandwidth. */
 @Command(name = "members", mixinStandardHelpOptions = true,
-        description = "Simulate fleets whose instances hear each other, beside plain heartbeats: time to detect a "
-                + "death, wrong verdicts and bytes, by size and fault.")
+        description = "Simulate the membership protocol and, for comparison, plain heartbeats: time to detect a "
+                + "dead instance, false positives and bytes sent, by fleet size and fault.")
 final class MembersCommand extends SimulationCommand implements Callable<Integer> {
     private static final long SETTLE_TENTHS_MS = 150_000;
     private static final long OBSERVED_TENTHS_MS = 600_000;
@@ -54,26 +54,26 @@
         return 0;
     }
 
-    /** One death in each play, a third in; those who live should all come to know it. */
+    /** One instance dies after a third of each simulation; all others should detect that. */
     private Outcome simulate(int size, FaultCase faultCase, boolean heartbeatsOnly) {
         List<Outcome> outcomes = IntStream.range(0, seeds).parallel().mapToObj(i -> {
-            MembershipSimulation world = new MembershipSimulation(size, MembershipConfig.DEFAULT, heartbeatsOnly,
+            MembershipSimulation simulation = new MembershipSimulation(size, MembershipConfig.DEFAULT, heartbeatsOnly,
                     firstSeed + i);
-            world.advanceTo(SETTLE_TENTHS_MS);
-            world.lossRatio = faultCase.loss();
-            long bytes = world.bytesSent;
-            long observedFrom = world.now();
-            world.falseDeaths = 0;
-            world.falseSuspicions = 0;
+            simulation.advanceTo(SETTLE_TENTHS_MS);
+            simulation.lossRatio = faultCase.loss();
+            long bytesBefore = simulation.bytesSent;
+            long observedFrom = simulation.now();
+            simulation.falseDeaths = 0;
+            simulation.falseSuspicions = 0;
             for (int k = 0; faultCase.pauses() && k < Math.max(1, size / 10); k++) {
-                world.pause(2 + k, PAUSE_TENTHS_MS);
+                simulation.pause(2 + k, PAUSE_TENTHS_MS);
             }
-            world.advanceTo(observedFrom + OBSERVED_TENTHS_MS / 3);
-            world.kill(1);
-            world.advanceTo(observedFrom + OBSERVED_TENTHS_MS);
-            return new Outcome(world.detectionTimes, world.falseDeaths, world.falseSuspicions,
-                    (world.bytesSent - bytes) / (OBSERVED_TENTHS_MS / 10_000.0) / size,
-                    size - 1 - world.detectionTimes.size());
+            simulation.advanceTo(observedFrom + OBSERVED_TENTHS_MS / 3);
+            simulation.kill(1);
+            simulation.advanceTo(observedFrom + OBSERVED_TENTHS_MS);
+            return new Outcome(simulation.detectionTimes, simulation.falseDeaths, simulation.falseSuspicions,
+                    (simulation.bytesSent - bytesBefore) / (OBSERVED_TENTHS_MS / 10_000.0) / size,
+                    size - 1 - simulation.detectionTimes.size());
         }).toList();
         List<Long> detectionTimes = new ArrayList<>();
         outcomes.forEach(outcome -> detectionTimes.addAll(outcome.detectionTimes()));
--- a/lab/src/main/java/vetchrill/tool/PlanCommand.java
+++ b/lab/src/main/java/vetchrill/tool/PlanCommand.java
@@ -12,9 +12,12 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import picocli.CommandLine.ArgGroup;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
+import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
+import picocli.CommandLine.Spec;
 import vetchrill.capture.Capture;
 import vetchrill.fleet.Fleet;
 import vetchrill.fleet.FleetFileReader;
@@ -29,55 +32,57 @@
 import vetchrill.planner.FleetSizer;
 import vetchrill.planner.SimulationRunner;
 
+/** Plans a fleet: its limits, the size for a goal, and the effect of losing zones. */
 @Command(name = "plan", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "limits|size|lose|report",
-        description = "Plan a fleet from its description and, where there are any, its captures.")
+        description = "Plan a fleet from its description and, if available, its captures.")
 final class PlanCommand implements Runnable {
-    @picocli.CommandLine.Spec
-    private picocli.CommandLine.Model.CommandSpec spec;
+    @Spec
+    private CommandSpec spec;
 
     @Override
     public void run() {
-        throw new picocli.CommandLine.ParameterException(spec.commandLine(),
-                "plan needs one of limits, size, lose, report");
+        throw new ParameterException(spec.commandLine(),
+                "plan requires a subcommand: limits, size, lose or report");
     }
 
-    /** What all questions have in common. */
+    /** Options that all subcommands have in common. */
     static final class PlanOptions {
         @Parameters(index = "0", paramLabel = "FLEET", description = "The fleet (HCL).")
         Path fleetFile;
 
         @Option(names = "--capture", paramLabel = "FOLDER",
-                description = "Captures of the fleet's relays; what they tell "
-                + "goes before what the file says.")
+                description = "Captures of the fleet; values fitted to them replace those of the fleet file.")
         Path capture;
 
-        @Option(names = "--seeds", defaultValue = "5", description = "Worlds played for each case (${DEFAULT-VALUE}).")
+        @Option(names = "--seeds", defaultValue = "5",
+                description = "Number of simulations per case (${DEFAULT-VALUE}).")
         int seeds;
 
-        @Option(names = "--threads", description = "Worlds played at once; all cores where not given.")
+        @Option(names = "--threads", description = "Number of parallel simulations; by default the number of cores.")
         int threads = Runtime.getRuntime().availableProcessors();
 
-        @Option(names = "--seconds", defaultValue = "40", description = "Length of a world (${DEFAULT-VALUE}).")
+        @Option(names = "--seconds", defaultValue = "40",
+                description = "Length of a simulation (${DEFAULT-VALUE}).")
         int seconds;
 
-        @Option(names = "--settle", defaultValue = "5", description = "Seconds at its beginning that are not counted "
-                + "(${DEFAULT-VALUE}).")
+        @Option(names = "--settle", defaultValue = "5",
+                description = "Seconds at the start of a simulation that do not count (${DEFAULT-VALUE}).")
         int settle;
 
         @ArgGroup(exclusive = true)
         OutputFormat output = new OutputFormat();
 
-        @Option(names = "--quiet", description = "No progress on standard error.")
+        @Option(names = "--quiet", description = "Do not print progress on standard error.")
         boolean quiet;
 
         private final AtomicInteger finishedRuns = new AtomicInteger();
 
         static final class OutputFormat {
-            @Option(names = "--json", description = "Answer in JSON.")
+            @Option(names = "--json", description = "Print the report as JSON.")
             boolean json;
 
             @Option(names = "--html", paramLabel = "FILE",
-                    description = "Answer as a page in FILE, nothing else needed.")
+                    description = "Write the report to FILE as a self-contained HTML page.")
             Path html;
         }
 
@@ -85,8 +90,7 @@
             if (seeds < 1 || seeds > 1_000 || threads < 1 || threads > 1_024 || settle < 0 || seconds <= settle + 1
                     || seconds > 3_600) {
                 throw new UsageException("--seeds should be 1 to 1000, --threads 1 to 1024, --seconds at most "
-                        + "3600 and two more "
-                        + "than --settle");
+                        + "3600 and at least two more than --settle");
             }
             return new SimulationRunner(threads, seeds, seconds * 10_000L, settle * 10_000L, this::progress);
         }
@@ -94,23 +98,24 @@
         private void progress() {
             int finished = finishedRuns.incrementAndGet();
             if (!quiet && System.console() != null && finished % 5 == 0) {
-                System.err.print("\r" + finished + " worlds played");
+                System.err.print("\r" + finished + " simulations finished");
                 System.err.flush();
             }
         }
 
+        /** Takes the inputs from the captures if given, else from the fleet file alone. */
         PlanInputs readInputs(Fleet configuredFleet) {
             if (capture != null) {
                 return new PlanInputs(new FittedModel(configuredFleet, Capture.readAll(capture)));
             }
             if (!configuredFleet.missingValues().isEmpty()) {
-                throw new UsageException(fleetFile + ": without --capture it must tell "
+                throw new UsageException(fleetFile + ": without --capture, these values are missing: "
                         + String.join(", ", configuredFleet.missingValues()));
             }
             return new PlanInputs(configuredFleet);
         }
 
-        /** Shows what there is; 1 where something asked for does not hold. */
+        /** Prints the reports and returns the exit code: 1 if a goal is not met. */
         int print(String title, List<Report> reports) throws IOException {
             if (!quiet && finishedRuns.get() > 0 && System.console() != null) {
                 System.err.print("\r");
@@ -118,7 +123,7 @@
             if (output != null && output.json) {
                 System.out.print(ReportRenderer.toJson(reports));
             } else if (output != null && output.html != null) {
-                // Whoever looks at it never sees half of it.
+                // Replaces the file atomically, so that readers never see half a page.
                 Path temporary = output.html.resolveSibling(output.html.getFileName() + ".half");
                 Files.writeString(temporary, ReportRenderer.toHtml(title, reports));
                 Files.move(temporary, output.html, StandardCopyOption.REPLACE_EXISTING);
@@ -130,7 +135,7 @@
     }
 
     @Command(name = "limits", mixinStandardHelpOptions = true,
-            description = "Every limit that the design has, in the order in which growing load reaches it.")
+            description = "Show all limits of the fleet, in the order in which increasing load reaches them.")
     int limits(@Mixin PlanOptions options) throws IOException {
         Fleet fleet = FleetFileReader.read(options.fleetFile);
         try (SimulationRunner runner = options.newRunner()) {
@@ -140,10 +145,10 @@
     }
 
     @Command(name = "size", mixinStandardHelpOptions = true,
-            description = "How many relays the goals of a file take, by kind and zone.")
+            description = "Find the number of instances that meets each goal of a file, by kind and zone.")
     int size(@Mixin PlanOptions options,
-    @Parameters(index = "1", paramLabel = "GOALS", description = "The goals (HCL).")
-            Path goals) throws IOException {
+            @Parameters(index = "1", paramLabel = "GOALS", description = "The goals (HCL).") Path goals)
+            throws IOException {
         Fleet fleet = FleetFileReader.read(options.fleetFile);
         List<Goal> goalList = Goal.read(ConfigBlock.read(goals), fleet);
         try (SimulationRunner runner = options.newRunner()) {
@@ -157,12 +162,13 @@
     }
 
     @Command(name = "lose", mixinStandardHelpOptions = true,
-            description = "What the loss of a zone does: alone, in each phase of a deploy, and with its return.")
+            description = "Show the effect of losing zones: alone, in each phase of a deploy, and with their return.")
     int lose(@Mixin PlanOptions options, @Option(names = "--zones", paramLabel = "A,B",
-            description = "A set of zones that go "
-            + "together; may be given again for another. Each zone by itself where not given.") List<String> zones,
-            @Option(names = "--load", defaultValue = "1", description = "The load as a multiple of that of now "
-                    + "(${DEFAULT-VALUE}).") double load) throws IOException {
+            description = "A set of zones that are lost together; may be repeated. By default each zone alone.")
+            List<String> zones,
+            @Option(names = "--load", defaultValue = "1",
+                    description = "The load as a multiple of the current load (${DEFAULT-VALUE}).") double load)
+            throws IOException {
         Fleet fleet = FleetFileReader.read(options.fleetFile);
         List<Set<String>> zoneSets = parseZoneSets(fleet, zones);
         checkLoad(load);
@@ -172,15 +178,15 @@
         }
     }
 
-    @Command(name = "report", mixinStandardHelpOptions = true, description = "All of it: limits, sizes and losses.")
+    @Command(name = "report", mixinStandardHelpOptions = true,
+            description = "Write the complete report: limits, sizes and zone losses.")
     int report(@Mixin PlanOptions options, @Option(names = "--goals", paramLabel = "GOALS",
-            description = "Goals to size for.")
-            Path goals) throws IOException {
+            description = "Goals to find sizes for (HCL).") Path goals) throws IOException {
         Fleet fleet = FleetFileReader.read(options.fleetFile);
         List<Goal> goalList = goals == null ? List.of() : Goal.read(ConfigBlock.read(goals), fleet);
         List<Report> reports = new ArrayList<>();
         PlanInputs inputs = options.readInputs(fleet);
-        // Stopped in the middle, it shows what is done.
+        // If the program is interrupted, the shutdown hook prints the reports that are finished.
         Thread partialReport = new Thread(() -> {
             try {
                 options.print("Plan of " + fleet.name + ", stopped early", List.copyOf(reports));
@@ -199,10 +205,10 @@
             try {
                 Runtime.getRuntime().removeShutdownHook(partialReport);
             } catch (IllegalStateException e) {
-                // It is being stopped: the hook shows what there is.
+                // The program is shutting down, and the hook prints the finished reports.
             }
         }
-        // They all rest on the same.
+        // All reports have the same inputs: keeps only the first table of them.
         reports.subList(1, reports.size()).forEach(each -> each.tables.removeIf(
                 table -> table.title().equals(PlanInputs.TABLE_TITLE)));
         return options.print("Plan of " + fleet.name, reports);
--- a/lab/src/main/java/vetchrill/tool/ProveCommand.java
+++ b/lab/src/main/java/vetchrill/tool/ProveCommand.java
@@ -32,52 +32,56 @@
 import vetchrill.standin.RigResult;
 import vetchrill.standin.FleetTestRig;
 
+/** Compares plans made from captures of real instances with the service that their clients measured. */
 @Command(name = "prove", mixinStandardHelpOptions = true,
-        description = "Play real instances on loopback, capture them, and hold what the planner says of "
-                + "them against what "
-                + "their clients counted.")
+        description = "Run real instances on loopback, capture them, and compare the plans made from the captures with "
+                + "the service that their clients measured.")
 final class ProveCommand implements Callable<Integer> {
     private static final System.Logger LOG = System.getLogger("vetchrill.prove");
 
-    /** A run that was void is played again, so often at most. */
+    /** Runs per case, including repetitions of invalid runs. */
     private static final int MAX_ATTEMPTS = 3;
     /**
-     * The load rises to its height after so long, in tenths of a millisecond, and is counted a second later: a
-     * program that has just been started is slow at first, and where retries can hold a fleet down that decides the
-     * whole run.
+     * Time until the load reaches its full rate; results count from one second later. A program that has just started
+     * is slow, and where retries can keep a fleet overloaded, full load from the start would decide the whole run.
      */
     private static final long RAMP_TENTHS_MS = 40_000;
+    /** Load during the ramp as a ratio of the full load. */
     private static final double INITIAL_LOAD_RATIO = 0.4;
 
-    @Parameters(paramLabel = "FLEET", description = "The fleet to play, with all that the planner is then not told.")
+    @Parameters(paramLabel = "FLEET",
+            description = "The fleet to run, with all values, of which most are then hidden from the planner.")
     private Path fleetFile;
 
-    @Option(names = "--seeds", defaultValue = "3", description = "Runs of each case (${DEFAULT-VALUE}).")
+    @Option(names = "--seeds", defaultValue = "3", description = "Runs per case (${DEFAULT-VALUE}).")
     private int seeds;
 
-    @Option(names = "--first-seed", defaultValue = "1", description = "The first of the seeds (${DEFAULT-VALUE}).")
+    @Option(names = "--first-seed", defaultValue = "1", description = "The first seed (${DEFAULT-VALUE}).")
     private int firstSeed;
 
-    @Option(names = "--seconds", defaultValue = "18", description = "Load in each run (${DEFAULT-VALUE}).")
+    @Option(names = "--seconds", defaultValue = "18",
+            description = "Duration of the load of each run (${DEFAULT-VALUE}).")
     private int seconds;
 
-    @Option(names = "--case", description = "Only cases whose name has this in it.")
+    @Option(names = "--case", description = "Run only cases whose name contains this.")
     private String caseFilter;
 
-    @Option(names = "--folder", defaultValue = "lab/target/prove", description = "Where runs leave their files.")
+    @Option(names = "--folder", defaultValue = "lab/target/prove",
+            description = "Where the files of the runs are kept.")
     private Path folder;
 
-    @Option(names = "--threads", description = "Worlds played at once; all cores where not given.")
+    @Option(names = "--threads", description = "Number of parallel simulations; by default the number of cores.")
     private int threads = Runtime.getRuntime().availableProcessors();
 
-    @Option(names = "--flush", defaultValue = "200", description = "Milliseconds until a row is in its file "
-            + "(${DEFAULT-VALUE}).")
+    @Option(names = "--flush", defaultValue = "200",
+            description = "Milliseconds until a captured row is written to its file (${DEFAULT-VALUE}).")
     private int flushMs;
 
-    @Option(names = "--beside", defaultValue = "2", description = "Fleets played side by side (${DEFAULT-VALUE}).")
+    @Option(names = "--beside", defaultValue = "2",
+            description = "Number of fleets that run in parallel (${DEFAULT-VALUE}).")
     private int concurrentFleets;
 
-    /** What came out, for whoever asks after the call. */
+    /** Results of the call, read by {@link MeasureCommand}; errors are in percentage points of service. */
     int runs;
     int voidRuns;
     double worstError;
@@ -95,7 +99,7 @@
     public Integer call() throws IOException, InterruptedException {
         Fleet fleet = FleetFileReader.read(fleetFile);
         if (!fleet.missingValues().isEmpty()) {
-            throw new UsageException(fleetFile + ": to be played it must tell "
+            throw new UsageException(fleetFile + ": to run the fleet, these values are missing: "
                     + String.join(", ", fleet.missingValues()));
         }
         List<Outcome> outcomes = new ArrayList<>();
@@ -135,16 +139,16 @@
                     double error = 100 * (planned.mean() - outcome.measuredService);
                     worstError = Math.max(worstError, Math.abs(error));
                     errorSum += Math.abs(error);
-                    // A plan made from another load: the first case of the same seed is all that it has seen.
+                    // Also plans this case from a capture at another load: that of the first case of the same seed.
                     Outcome reference = outcomes.stream()
-                            .filter(candidate -> candidate.proofCase.name.startsWith("95") && candidate.seed
-                            == outcome.seed)
-                            .findFirst().orElse(null);
+                            .filter(candidate -> candidate.proofCase.name.startsWith("95")
+                            && candidate.seed == outcome.seed).findFirst().orElse(null);
                     String otherLoadText = "      -       -";
                     if (reference != null && reference != outcome) {
-                        Workload demand = reference.model.scaledBy(proofCase.loadRatio / reference.proofCase.loadRatio);
-                        ConfidenceInterval otherLoadPlanned =
-                                runner.meanService(runner.simulate(withCase(reference.model.fleet, proofCase), demand));
+                        Workload workload = reference.model
+                                .scaledBy(proofCase.loadRatio / reference.proofCase.loadRatio);
+                        ConfidenceInterval otherLoadPlanned = runner.meanService(
+                                runner.simulate(withCase(reference.model.fleet, proofCase), workload));
                         double otherLoadError = 100 * (otherLoadPlanned.mean() - outcome.measuredService);
                         otherLoadWorstError = Math.max(otherLoadWorstError, Math.abs(otherLoadError));
                         otherLoadErrorSum += Math.abs(otherLoadError);
@@ -155,8 +159,8 @@
                     worstAttemptsError = Math.max(worstAttemptsError, Math.abs(attempts[1] / attempts[0] - 1));
                     System.out.printf("%-28s %4d %7.1f %7.3f %7.3f %+6.1f %s %7.2f %7.2f %6.1f%n", proofCase.name, seed,
                             fleet.fullLoad() * proofCase.loadRatio, outcome.measuredService, planned.mean(), error,
-                            otherLoadText, attempts[0],
-                            attempts[1], outcome.result.latenessP99TenthsMs() / 10.0);
+                            otherLoadText, attempts[0], attempts[1],
+                            outcome.result.latenessP99TenthsMs() / 10.0);
                     System.out.flush();
                 }
             }
@@ -168,7 +172,7 @@
         } finally {
             rigExecutor.shutdownNow();
         }
-        System.out.printf("runs that were void and are not in the table: %d%n", voidRuns);
+        System.out.printf("invalid runs, not in the table: %d%n", voidRuns);
         runs = outcomes.size();
         meanError = errorSum / Math.max(1, runs);
         otherLoadMeanError = otherLoadErrorSum / Math.max(1, otherLoadCount);
@@ -196,13 +200,13 @@
         return cases;
     }
 
-    /** The fleet with this case's habits and troubles; what was fitted stays. */
+    /** The fleet with the retry policy and faults of this case; fitted values stay. */
     private static Fleet withCase(Fleet fleet, ProofCase proofCase) {
         return fleet.withPools(fleet.pools.stream().map(pool -> pool.with(proofCase.retry)).toList())
                 .withFaults(proofCase.faults);
     }
 
-    /** What a planner is given: no work, no reading, no shares, no load; those it has to find in the capture. */
+    /** The fleet as given to the planner: without core times, reading times, shares and load, which it has to fit. */
     static Fleet withoutFittedValues(Fleet fleet) {
         double unknown = Double.NaN;
         List<MachineKind> kinds = fleet.kinds.stream().map(kind -> kind.with(unknown, unknown, unknown)).toList();
@@ -212,7 +216,7 @@
                 new Subjects(-1, Double.NaN));
     }
 
-    /** Null where the run was void again and again: the load itself was late, so that it shows nothing. */
+    /** Runs a case until a run is valid; null if none is, as the load generator was late each time. */
     private Outcome runCase(Fleet fleet, ProofCase proofCase, int seed) throws IOException, InterruptedException {
         Outcome outcome = null;
         for (int i = 0; outcome == null && i < MAX_ATTEMPTS; i++) {
@@ -221,7 +225,7 @@
         return outcome;
     }
 
-    /** Null where the run was void. A promise that was broken ends the whole. */
+    /** Runs a case once; null if the run is invalid. A violated guarantee ends the command. */
     private Outcome runOnce(Fleet fleet, ProofCase proofCase, int seed) throws IOException, InterruptedException {
         Path runFolder = folder.resolve(proofCase.name.replaceAll("[^0-9a-z]+", "-") + "-" + seed);
         Folders.deleteRecursively(runFolder);
@@ -230,17 +234,17 @@
         RigResult result;
         try (FleetTestRig rig = new FleetTestRig(caseFleet,
                 Workload.withRampUp(new Workload.ConfiguredWorkload(caseFleet), INITIAL_LOAD_RATIO, RAMP_TENTHS_MS),
-                seconds * 10_000L,
-                seed, runFolder, flushMs)) {
+                seconds * 10_000L, seed, runFolder, flushMs)) {
             result = rig.run();
         }
         if (result.wrongResults() + result.duplicateRuns() + result.corruptedBodies() > 0) {
-            throw new UsageException("a rule was broken in " + runFolder + ": " + result.wrongResults()
-                    + " wrong results, "
-                    + result.duplicateRuns() + " double runs, " + result.corruptedBodies() + " changed bodies");
+            throw new UsageException("a guarantee was violated in " + runFolder + ": " + result.wrongResults()
+                    + " wrong results, " + result.duplicateRuns() + " duplicate runs, " + result.corruptedBodies()
+                    + " corrupted bodies");
         }
         if (result.invalid()) {
-            LOG.log(System.Logger.Level.WARNING, "the load was late itself", ToolLog.field("case", proofCase.name),
+            LOG.log(System.Logger.Level.WARNING, "the load generator was late; the run is invalid",
+                    ToolLog.field("case", proofCase.name),
                     ToolLog.field("late_ms", result.latenessP99TenthsMs() / 10.0));
             return null;
         }
@@ -250,7 +254,7 @@
                 result.statistics().service((int) (RAMP_TENTHS_MS / 10_000) + 1, seconds));
     }
 
-    /** All tries for each first one that came to a relay: as the clients know it, and as the rows were read. */
+    /** Attempts per first attempt that reached an instance: as counted by the clients, and as estimated from rows. */
     private static double[] attemptsPerExchange(Outcome outcome) {
         long firstAttempts = outcome.result.arrivals().stream().filter(FleetTestRig.AttemptArrival::firstAttempt)
                 .count();
--- a/lab/src/main/java/vetchrill/tool/ServeCommand.java
+++ b/lab/src/main/java/vetchrill/tool/ServeCommand.java
@@ -19,15 +19,17 @@
 import vetchrill.program.InstanceRunner;
 import vetchrill.protocol.DeploymentReader;
 
+/** Runs one instance, with the extensions that an operator file switches on. */
 @Command(name = "serve", mixinStandardHelpOptions = true,
-        description = "Be one instance on sockets, as GW_CONFIG says, until SIGTERM. An operator's file may switch on "
-                + "what the platform does not know.")
+        description = "Run one instance on sockets, as configured by GW_CONFIG, until SIGTERM. An operator file may "
+                + "enable extensions that the platform configuration does not have.")
 final class ServeCommand implements Callable<Integer> {
     @Option(names = "--operator", paramLabel = "FILE",
-            description = "The operator's own file (HCL); see deploy/operator.hcl.")
+            description = "The operator file (HCL); see deploy/operator.hcl.")
     private Path operator;
 
-    @Option(names = "--rigged", hidden = true, description = "A file by which a rig steps the clock or fills the disk.")
+    @Option(names = "--rigged", hidden = true,
+            description = "A file through which a test rig steps the clock or fills the disk.")
     private Path rigFile;
 
     @Override
@@ -39,18 +41,18 @@
         JsonNode configuration = readConfiguration();
         String name = configuration == null ? "?" : instanceName(configuration);
         ConfigBlock root = ConfigBlock.read(operator);
-        CaptureConfig captureOrder = CaptureConfig.readFrom(root);
-        PeersConfig peersOrder = PeersConfig.read(root);
-        OperatorConfigReader.VersionsBlock versionsOrder = OperatorConfigReader.readVersions(root, peersOrder, name);
+        CaptureConfig captureConfig = CaptureConfig.readFrom(root);
+        PeersConfig peersConfig = PeersConfig.read(root);
+        OperatorConfigReader.VersionsBlock versionsConfig = OperatorConfigReader.readVersions(root, peersConfig, name);
         AuditConfig auditConfig = OperatorConfigReader.readAudit(root);
         root.check();
         if (configuration == null || !configuration.path("settings").isObject()) {
-            // The start tells what is wrong with it.
+            // The start reports what is wrong with the configuration.
             return InstanceRunner.run(System.getenv());
         }
-        CaptureWriter captureWriter = captureOrder == null ? null : newCaptureWriter(captureOrder, configuration);
-        PeeringExtension extensions = new PeeringExtension(name, configuration, peersOrder, versionsOrder, auditConfig,
-                rigFile);
+        CaptureWriter captureWriter = captureConfig == null ? null : newCaptureWriter(captureConfig, configuration);
+        PeeringExtension extensions = new PeeringExtension(name, configuration, peersConfig, versionsConfig,
+                auditConfig, rigFile);
         return InstanceRunner.run(System.getenv(), CompositeRecorder.combine(extensions.audit, captureWriter),
                 extensions.clock, extensions);
     }
@@ -60,7 +62,7 @@
         return name == null ? configuration.path("name").asText() : name;
     }
 
-    /** Null where the configuration is of no use: the start tells of that itself. */
+    /** The configuration, or null if it can't be read; the start reports the reason. */
     private static JsonNode readConfiguration() {
         String file = System.getenv("GW_CONFIG");
         try {
@@ -70,12 +72,13 @@
         }
     }
 
-    private static CaptureWriter newCaptureWriter(CaptureConfig order, JsonNode configuration) throws IOException {
+    private static CaptureWriter newCaptureWriter(CaptureConfig captureConfig, JsonNode configuration)
+            throws IOException {
         Map<String, String> provenance = new LinkedHashMap<>();
         provenance.put("name", instanceName(configuration));
         provenance.put("started", Long.toString(System.currentTimeMillis()));
         provenance.put("program", "vetchrill 0.1.0");
         provenance.put("settings", configuration.path("settings").toString());
-        return new CaptureWriter(order, provenance);
+        return new CaptureWriter(captureConfig, provenance);
     }
 }
--- a/lab/src/main/java/vetchrill/tool/ToolCommand.java
+++ b/lab/src/main/java/vetchrill/tool/ToolCommand.java
@@ -1,5 +1,5 @@
 package vetchrill.tool;
 
-/** A subcommand of a module beside this one, found as a service. */
+/** A subcommand that another module provides; found by the ServiceLoader. */
 public interface ToolCommand {
 }
--- a/lab/src/main/java/vetchrill/tool/ToolLog.java
+++ b/lab/src/main/java/vetchrill/tool/ToolLog.java
@@ -8,16 +8,16 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * System.Logger for the tools, with logback behind it: as lines of text, or as lines of JSON in which what was handed
- * over as {@link Field} stands as a field of its own and not in a sentence.
+ * Routes System.Logger to logback for the tools. Lines are text, or JSON in which each {@link Field} is a separate
+ * field.
  */
 public final class ToolLog extends System.LoggerFinder {
-    /** The properties by which the command line says what it wants, before the first line is logged. */
+    /** System properties that configure logging; the command line sets them before the first line is logged. */
     public static final String FORMAT_PROPERTY = "vetchrill.log.format";
     public static final String LEVEL_PROPERTY = "vetchrill.log.level";
     public static final String TARGET_PROPERTY = "vetchrill.log.target";
 
-    /** A parameter with a name. */
+    /** A named parameter of a log line. */
     public record Field(String name, Object value) {
         @Override
         public String toString() {
--- a/lab/src/main/java/vetchrill/tool/TryCommand.java
+++ b/lab/src/main/java/vetchrill/tool/TryCommand.java
@@ -21,31 +21,32 @@
 import vetchrill.standin.RigResult;
 import vetchrill.standin.FleetTestRig;
 
+/** Runs a small fleet of real instances under load and prints its service second by second. */
 @Command(name = "try", mixinStandardHelpOptions = true,
-        description = "Run real instances on loopback with this project's own stand-ins, and show second "
-                + "by second what "
-                + "becomes of what is asked. Stops by itself, or at Ctrl-C.")
+        description = "Run real instances on loopback with fakes for everything around them, and show the results "
+                + "second by second. Stops by itself, or at Ctrl-C.")
 final class TryCommand implements Callable<Integer> {
     @Option(names = "--fleet", paramLabel = "FILE",
-            description = "The fleet to run (HCL); a small one where not given.")
+            description = "The fleet to run (HCL); a small one by default.")
     private Path fleetFile;
 
-    @Option(names = "--seconds", defaultValue = "20", description = "How long (${DEFAULT-VALUE}).")
+    @Option(names = "--seconds", defaultValue = "20", description = "Duration of the load (${DEFAULT-VALUE}).")
     private int seconds;
 
-    @Option(names = "--load", defaultValue = "0.8", description = "Of what the cores can do (${DEFAULT-VALUE}).")
+    @Option(names = "--load", defaultValue = "0.8",
+            description = "Load as a ratio of the capacity of the cores (${DEFAULT-VALUE}).")
     private double load;
 
     @Option(names = "--trouble", paramLabel = "burst|slow|reset",
-            description = "What goes wrong in the middle third: twice "
-            + "the load; half of the machines four times slower; or connections and links reset "
-            + "five times a second.")
+            description = "Fault during the middle third: twice the load; half of the machines four times slower; or "
+            + "connections and links reset five times per second.")
     private String fault;
 
-    @Option(names = "--seed", defaultValue = "1", description = "Of all that is drawn (${DEFAULT-VALUE}).")
+    @Option(names = "--seed", defaultValue = "1", description = "Seed of all random values (${DEFAULT-VALUE}).")
     private long seed;
 
-    @Option(names = "--folder", description = "Where logs and captures are left; removed at the end where not given.")
+    @Option(names = "--folder",
+            description = "Where logs and captures are kept; by default a temporary folder, removed at the end.")
     private Path folder;
 
     @Override
@@ -65,17 +66,17 @@
         }
         Fleet fleet = fleetFile == null ? smallFleet() : FleetFileReader.read(fleetFile);
         if (!fleet.missingValues().isEmpty()) {
-            throw new UsageException("to be run, the fleet must tell " + String.join(", ", fleet.missingValues()));
+            throw new UsageException("to run the fleet, these values are missing: "
+                    + String.join(", ", fleet.missingValues()));
         }
         faults.addAll(fleet.faults);
         Fleet loadedFleet = fleet.withLoad(fleet.fullLoad() * load).withFaults(faults);
         Path runFolder = folder == null ? Files.createTempDirectory("vetchrill-try") : folder;
         try (FleetTestRig rig = new FleetTestRig(loadedFleet, new Workload.ConfiguredWorkload(loadedFleet),
-                seconds * 10_000L, seed, runFolder, folder == null ? 0
-                : 200)) {
-            System.out.printf("%d relays, %d stubs, %.0f first tries a second, %.0f%% of what the cores "
-                    + "can do; starting%n",
-                    fleet.instanceCount(), fleet.stubCount(), loadedFleet.load.perSecond(), 100 * load);
+                seconds * 10_000L, seed, runFolder, folder == null ? 0 : 200)) {
+            System.out.printf("%d instances, %d stubs, %.0f first attempts per second, %.0f%% of the capacity of "
+                    + "the cores; starting%n", fleet.instanceCount(), fleet.stubCount(), loadedFleet.load.perSecond(),
+                    100 * load);
             rig.start();
             rig.startLoad();
             printHeader();
@@ -115,33 +116,32 @@
     private long failedBefore;
 
     private void printSecond(FleetTestRig rig, int second, List<Fault> faults) {
-        ServiceStatistics tally = rig.statistics();
+        ServiceStatistics statistics = rig.statistics();
         Histogram latency = rig.latency();
-        long completed = tally.completed() - completedBefore;
-        long failed = tally.failed() - failedBefore;
+        long completed = statistics.completed() - completedBefore;
+        long failed = statistics.failed() - failedBefore;
         completedBefore += completed;
         failedBefore += failed;
         long secondEnd = (second + 1L) * ServiceStatistics.SECOND_TENTHS_MS;
         boolean faultActive = faults.stream()
                 .anyMatch(each -> secondEnd > each.from() && secondEnd <= each.until()
                 + ServiceStatistics.SECOND_TENTHS_MS);
-        System.out.printf("%6d %7d %7d %10d %10d %10d %9.1f %9.1f  %s%n", second + 1, tally.firstAttempts[second],
-                tally.allAttempts[second], completed, tally.deniedAttempts[second], failed,
+        System.out.printf("%6d %7d %7d %10d %10d %10d %9.1f %9.1f  %s%n", second + 1, statistics.firstAttempts[second],
+                statistics.allAttempts[second], completed, statistics.deniedAttempts[second], failed,
                 latency.getValueAtPercentile(50) / 10.0,
                 latency.getValueAtPercentile(99) / 10.0, faultActive ? fault == null ? "of the fleet file" : fault
                 : "");
     }
 
     private void printSummary(FleetTestRig rig, RigResult result) {
-        ServiceStatistics tally = result.statistics();
-        System.out.printf("completed %d, denied in the end %d, terminated or unanswered %d; %.1f%% of "
-                + "benefit within the SLO "
-                + "time; %.2f tries for each first one%n", tally.completed(), tally.endedDenied(), tally.failed(),
-                100 * tally.service(0, tally.seconds), tally.retryFactor(0, tally.seconds));
-        System.out.printf("wrong results %d, double runs %d, changed bodies %d; the load itself was %.1f "
-                + "ms late (p99)%s%n",
+        ServiceStatistics statistics = result.statistics();
+        System.out.printf("completed %d, finally denied %d, terminated or unanswered %d; %.1f%% of the "
+                + "benefit within the SLO time; %.2f attempts per first attempt%n", statistics.completed(),
+                statistics.endedDenied(), statistics.failed(),
+                100 * statistics.service(0, statistics.seconds), statistics.retryFactor(0, statistics.seconds));
+        System.out.printf("wrong results %d, duplicate runs %d, corrupted bodies %d; the load generator was "
+                + "%.1f ms late (p99)%s%n",
                 result.wrongResults(), result.duplicateRuns(), result.corruptedBodies(),
-                result.latenessP99TenthsMs() / 10.0,
-                result.invalid() ? ": too late, this run shows nothing" : "");
+                result.latenessP99TenthsMs() / 10.0, result.invalid() ? ": too late, the run is invalid" : "");
     }
 }
--- a/lab/src/main/java/vetchrill/tool/Vetchrill.java
+++ b/lab/src/main/java/vetchrill/tool/Vetchrill.java
@@ -11,23 +11,24 @@
 import vetchrill.hcl.ConfigErrors;
 import vetchrill.wire.WireFormatException;
 
-/** The one command line over the instance and the tools. */
+/** The command line of the instance and of all tools. */
 @Command(name = "vetchrill", mixinStandardHelpOptions = true, version = "vetchrill 0.1.0",
-        description = "An overload controller for each server of a fleet, and the tools around it.",
+        description = "An overload controller for each instance of a fleet, and its tools.",
         synopsisSubcommandLabel = "COMMAND",
         subcommands = {ServeCommand.class, WirehostCommand.class, TryCommand.class, PlanCommand.class,
             CaptureCommand.class, ProveCommand.class, MeasureCommand.class, CostCommand.class,
             FleetCommand.class, MembersCommand.class, VersionsCommand.class,
             AuditCommand.class},
         exitCodeListHeading = "%nExit codes:%n",
-        exitCodeList = {"0:done", "1:done, and what was asked about does not hold, or an input on the wire was wrong",
-            "2:wrong usage or bad input: one line on standard error for each mistake", "70:the program failed"})
+        exitCodeList = {"0:done",
+            "1:done, but a check failed or a goal is not met, or input of the line protocol was invalid",
+            "2:wrong usage or invalid input: one line on standard error for each error", "70:the program failed"})
 public final class Vetchrill {
     static final int EXIT_BAD_INPUT = 2;
     static final int EXIT_FAILED = 70;
 
     @Option(names = "--log-format", paramLabel = "text|json", scope = ScopeType.INHERIT, defaultValue = "text",
-            description = "How log lines are written: ${DEFAULT-VALUE} where not given.")
+            description = "Format of log lines (${DEFAULT-VALUE}).")
     void logFormat(String format) {
         if (!format.equals("text") && !format.equals("json")) {
             throw new CommandLine.ParameterException(new CommandLine(this),
@@ -48,8 +49,8 @@
             return EXIT_BAD_INPUT;
         });
         commandLine.setExecutionExceptionHandler((e, command, parsed) -> {
-            if (e instanceof ConfigErrors mistakes) {
-                mistakes.messages.forEach(each -> commandLine.getErr().println("vetchrill: " + each));
+            if (e instanceof ConfigErrors errors) {
+                errors.messages.forEach(each -> commandLine.getErr().println("vetchrill: " + each));
                 return EXIT_BAD_INPUT;
             }
             if (e instanceof CaptureException || e instanceof UsageException) {
@@ -78,6 +79,7 @@
         return commandLine.execute(args);
     }
 
+    /** Joins a message into one line, as each error is one line on standard error. */
     private static String oneLine(String text) {
         return text.replace('\n', ' ').replace('\r', ' ');
     }
--- a/lab/src/main/java/vetchrill/tool/WirehostCommand.java
+++ b/lab/src/main/java/vetchrill/tool/WirehostCommand.java
@@ -8,10 +8,10 @@
 import picocli.CommandLine.Command;
 import vetchrill.wire.WireHost;
 
+/** Runs the instance core on the line protocol over standard input and output. */
 @Command(name = "wirehost", mixinStandardHelpOptions = true,
-        description = "Decide for the instances on the wire: batches on standard input, replies on "
-                + "standard output, until "
-                + "the input ends.")
+        description = "Run instances on the line protocol: batches on standard input, replies on standard output, "
+                + "until the input ends.")
 final class WirehostCommand implements Callable<Integer> {
     @Override
     public Integer call() throws IOException {
--- a/lab/src/test/java/vetchrill/tool/CommandTest.java
+++ b/lab/src/test/java/vetchrill/tool/CommandTest.java
@@ -63,7 +63,7 @@
         assertEquals(result.err, "vetchrill: " + empty + ": holds no exchange\n");
     }
 
-    /** The library that reads captures logged each of its buffers between the lines of an answer. */
+    /** Guards against debug lines of the library that reads captures, which it logs for each of its buffers. */
     public void captureOutputHasNoLibraryLogLines() {
         CommandResult result = run("capture", "src/test/resources/captures/full");
         assertEquals(result.code, 0);
