--- a/instance/src/main/java/vetchrill/control/Exchange.java
+++ b/instance/src/main/java/vetchrill/control/Exchange.java
@@ -38,10 +38,13 @@
     long deadline;
     long sloDeadline;
     long startDeadline;
+    /** It has its final answer, or its caller has disconnected. */
     boolean answered;
     boolean everStarted;
     boolean keyStored;
+    /** Its run was preempted, and its work is kept until it resumes. */
     boolean paused;
+    /** Its run is to be preempted and has not ended yet. */
     boolean interrupting;
     long startedAt;
     long callRequestedAt;
--- a/instance/src/main/java/vetchrill/control/Host.java
+++ b/instance/src/main/java/vetchrill/control/Host.java
@@ -19,7 +19,7 @@
     /** Gives the final answer that the exchange failed; it may have taken effect. */
     void terminate(Exchange ex);
 
-    /** Takes a run off its core; gives no answer. */
+    /** Interrupts a run, which frees its core; gives no answer. */
     void interrupt(Exchange ex);
 
     /** Makes the call that the run waits for; it times out at {@code deadline}. */
--- a/instance/src/main/java/vetchrill/control/OverloadController.java
+++ b/instance/src/main/java/vetchrill/control/OverloadController.java
@@ -25,7 +25,7 @@
 public final class OverloadController {
     /** Interval between two samples of the gauges, and so the precision of every action that is bound to a time. */
     private static final long TICK_INTERVAL_TENTHS_MS = 1000;
-    /** Deadlines are served this early; two ticks allow for a late timer. */
+    /** Exchanges are answered this long before their deadline; two ticks allow for a late timer. */
     private static final long DEADLINE_MARGIN_TENTHS_MS = 2 * TICK_INTERVAL_TENTHS_MS;
     /** Time for an answer to reach the client. */
     private static final long ANSWER_DELIVERY_TENTHS_MS = 100;
@@ -85,7 +85,7 @@
     private static final long MIN_HEALTHY_TENTHS_MS = 12_500;
     /** Arrivals above this multiple of this instance's part of all allowances: the other instances are full as well. */
     private static final double HIGH_ARRIVALS_RATIO = 1.3;
-    /** With fewer completions per arrival, an instance that reads too late is of no more use than a dead one. */
+    /** With fewer completions per arrival, little is lost when an instance that reads too late becomes unhealthy. */
     private static final double MIN_COMPLETION_RATIO = 0.1;
     /** Below this cpu usage an unhealthy instance has caught up; staying out longer only overloads the others. */
     private static final double RECOVERED_CPU_RATIO = 0.6;
@@ -239,9 +239,8 @@
         markChanged(now);
         EndpointGroup group = ex.group;
         ex.deadline = ex.callerDeadline > 0 ? ex.callerDeadline : ex.arrivedAt + group.asyncTimeout;
-        ex.startDeadline = ex.arrivedAt
-                + (long) ((deployment.backendTier ? BACKEND_MAX_PENDING_SLO_RATIO : MAX_PENDING_SLO_RATIO)
-                * group.sloTime);
+        ex.startDeadline = ex.arrivedAt + (long) (
+                (deployment.backendTier ? BACKEND_MAX_PENDING_SLO_RATIO : MAX_PENDING_SLO_RATIO) * group.sloTime);
         long sloTime = group.sloTime + (long) (group.sloWorkFactor * ex.declaredCoreTime);
         ex.sloDeadline = ex.arrivedAt + Math.min(group.asyncTimeout, sloTime);
         pending.add(ex);
@@ -415,7 +414,7 @@
         }
     }
 
-    /** Frees the memory and the place of an exchange; its key is dropped too if it never ran. */
+    /** Removes an exchange from all lists and frees its memory; its key is dropped too if it never ran. */
     private void finish(Exchange ex) {
         if (ex.stage != Stage.FINISHED) {
             boolean runMemoryInUse = ex.paused || ex.stage != Stage.PENDING && ex.stage != Stage.REPLAYING;
@@ -450,8 +449,8 @@
     /** Recomputes at each tick the limits, the health, the load hints and the averages that they follow from. */
     private void updateLimitsAndHealth() {
         // As in the service design, the run limit rises while cores are idle although work is pending, and falls when
-        // runs only slow each other down. Where another process takes cores, the cpu usage alone never reaches the
-        // busy mark; the number of runnable tasks shows it.
+        // runs only slow each other down. Where another process takes cores, the cpu usage alone never reaches
+        // CPU_BUSY_RATIO, but the number of runnable tasks shows that the cores are saturated.
         boolean coresIdle = cpuUsage < CPU_BUSY_RATIO
                 && averageRunnable < SATURATED_RUNNABLE_PER_CORE * deployment.cores;
         if (coresIdle && !pending.isEmpty() && running.size() >= (int) runLimit) {
@@ -477,7 +476,7 @@
                 (STUCK_RUN_TIME_RATIO + STUCK_SINGLE_RUN_EXTRA_RATIO / running.size()) * usualRunTime);
         // Exchanges are already late when they are read, so that no rejection reaches its caller in time. That makes
         // the instance unhealthy in two cases: the arrivals are as usual, so that only this machine is slow; or almost
-        // nothing completes, so that nothing is lost without it.
+        // nothing completes, so that almost nothing is lost while it is out.
         boolean readingTooLate = averageReadDelay > shortestSloTime * coreSpeedRatio()
                 && (arrivalRate < HIGH_ARRIVALS_RATIO * allowancePerInstance
                 || completionRate < MIN_COMPLETION_RATIO * arrivalRate);
@@ -660,7 +659,7 @@
         return false;
     }
 
-    /** Makes, skips or gives up the calls that runs wait for. */
+    /** Makes or skips the calls that runs wait for, or abandons the exchange if neither is possible. */
     private boolean advanceCalls(Host host) {
         for (Exchange ex : atCalls) {
             if (ex.stage != Stage.AWAITING_CALL || ex.answered || ex.nextCallAt > now) {
@@ -795,8 +794,8 @@
     /**
      * Whether the caller of a rejected exchange is asked not to retry it at another instance; random, with a
      * probability that grows with the load of the fleet. Where callers mark retries, these are few as long as only this
-     * instance is overloaded. Where they don't, retries must not cost the other instances more than they can bring: the
-     * read delay shows what reading costs, and arrivals above the configured allowance show that retries bring less.
+     * instance is overloaded. Where they don't, the cost of reading a retry is weighed against its chance of success:
+     * the read delay shows the cost, and arrivals above the configured allowance show that the chance is low.
      */
     private boolean shouldForbidRetry() {
         double probability = retryRatio / ALL_FULL_RETRY_RATIO;
@@ -851,7 +850,7 @@
         boolean canPreempt = deployment.preemption != Deployment.Preemption.NONE;
         if (runOrder.isEmpty() || running.size() >= (int) runLimit
                 || running.size() + atCalls.size()
-                >= (canPreempt ? MAX_RUNS_AND_CALLS_PER_CORE * deployment.cores : maxSustainableRuns())) {
+                        >= (canPreempt ? MAX_RUNS_AND_CALLS_PER_CORE * deployment.cores : maxSustainableRuns())) {
             return false;
         }
         Exchange ex = runOrder.get(0);
@@ -881,8 +880,9 @@
             return true;
         }
         double loadHint = deployment.loadHint == Deployment.LoadHint.MIN_RANK ? minRank : tokens;
-        if (deployment.loadHint != Deployment.LoadHint.NONE && Math.abs(loadHint - reportedLoadHint)
-                > MIN_LOAD_HINT_CHANGE + LOAD_HINT_CHANGE_RATIO * reportedLoadHint) {
+        if (deployment.loadHint != Deployment.LoadHint.NONE
+                && Math.abs(loadHint - reportedLoadHint)
+                        > MIN_LOAD_HINT_CHANGE + LOAD_HINT_CHANGE_RATIO * reportedLoadHint) {
             reportedLoadHint = loadHint;
             host.publishLoadHint(loadHint);
             return true;
--- a/instance/src/main/java/vetchrill/program/ConsoleLog.java
+++ b/instance/src/main/java/vetchrill/program/ConsoleLog.java
@@ -1,5 +1,6 @@
 package vetchrill.program;
 
+import java.nio.charset.StandardCharsets;
 import java.text.MessageFormat;
 import java.time.Instant;
 import java.time.temporal.ChronoUnit;
@@ -59,7 +60,7 @@
         private void write(Level level, String text) {
             String line = Instant.now().truncatedTo(ChronoUnit.MILLIS) + " " + level + " " + name + ": "
                     + text.replace('\n', ' ').replace('\r', ' ') + "\n";
-            byte[] bytes = line.getBytes(java.nio.charset.StandardCharsets.UTF_8);
+            byte[] bytes = line.getBytes(StandardCharsets.UTF_8);
             System.out.write(bytes, 0, bytes.length);
             System.out.flush();
         }
--- a/instance/src/main/java/vetchrill/protocol/DeploymentReader.java
+++ b/instance/src/main/java/vetchrill/protocol/DeploymentReader.java
@@ -157,7 +157,7 @@
     /** Rejects an object in place of a list: it has a size, but no elements by index. */
     private static void requireList(JsonNode node, String key) {
         if (node.path(key).isObject()) {
-            throw new IllegalArgumentException(key + " is no list");
+            throw new IllegalArgumentException(key + " is not a list");
         }
     }
 
@@ -165,7 +165,7 @@
         try {
             return JSON.readTree(options);
         } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException("options are no JSON: " + e.getOriginalMessage());
+            throw new IllegalArgumentException("options are not valid JSON: " + e.getOriginalMessage());
         }
     }
 
--- a/instance/src/main/java/vetchrill/protocol/Fields.java
+++ b/instance/src/main/java/vetchrill/protocol/Fields.java
@@ -62,8 +62,7 @@
     }
 
     private boolean sameBytes(int from, int size, int otherFrom, int otherSize) {
-        return size == otherSize
-                && Arrays.equals(buf, from, from + size, buf, otherFrom, otherFrom + size);
+        return size == otherSize && Arrays.equals(buf, from, from + size, buf, otherFrom, otherFrom + size);
     }
 
     /** The offset at which the fields end and the body begins. */
--- a/instance/src/main/java/vetchrill/protocol/MembershipCall.java
+++ b/instance/src/main/java/vetchrill/protocol/MembershipCall.java
@@ -49,7 +49,7 @@
             return sendReport(healthy, target);
         } catch (IOException e) {
             close();
-            // A report whose response timed out has arrived all the same, so it is not sent again.
+            // A report whose response timed out has probably arrived, so it is not sent again at once.
             if (!reused || e instanceof SocketTimeoutException) {
                 throw e;
             }
--- a/instance/src/main/java/vetchrill/routing/Clock.java
+++ b/instance/src/main/java/vetchrill/routing/Clock.java
@@ -1,5 +1,6 @@
 package vetchrill.routing;
 
+import java.time.Instant;
 import java.util.function.LongSupplier;
 
 /**
@@ -81,7 +82,7 @@
     }
 
     private static long systemWallTime() {
-        java.time.Instant instant = java.time.Instant.now();
+        Instant instant = Instant.now();
         return instant.getEpochSecond() * TENTHS_MS_PER_SECOND + instant.getNano() / NANOS_PER_TENTH_MS;
     }
 }
--- a/instance/src/main/java/vetchrill/routing/DecisionExecutor.java
+++ b/instance/src/main/java/vetchrill/routing/DecisionExecutor.java
@@ -84,8 +84,8 @@
     }
 
     @Override
-    public void storeDedupKey(Exchange ex, long timeToLive) {
-        idempotencyCache.storeKey((OpenExchange) ex, timeToLive);
+    public void storeDedupKey(Exchange ex, long ttl) {
+        idempotencyCache.storeKey((OpenExchange) ex, ttl);
     }
 
     @Override
@@ -93,7 +93,7 @@
         idempotencyCache.dropKey((OpenExchange) ex);
     }
 
-    // The start rejects settings that would need one of the following, as the protocol does not support them.
+    // StartConfiguration rejects settings that would need one of the following, as the protocol does not support them.
 
     @Override
     public void interrupt(Exchange ex) {
--- a/instance/src/main/java/vetchrill/routing/ExchangeRegistry.java
+++ b/instance/src/main/java/vetchrill/routing/ExchangeRegistry.java
@@ -53,7 +53,7 @@
         connections.add(stub);
         evictIdleConnections(connectionCount);
         if (connectionsDraining) {
-            drainConnections(stub);
+            drainConnection(stub);
         } else if (connectionCount > limits.maxConnections) {
             drainAndClose(stub, thread.now());
         }
@@ -85,7 +85,7 @@
         return exchangesById.get(id);
     }
 
-    /** Returns the bytes of its body to the common bound. */
+    /** Deducts the bytes of its body from the total of all open exchanges. */
     void releaseBody(OpenExchange ex) {
         openBodyBytes.addAndGet(-ex.body.length);
     }
@@ -105,7 +105,7 @@
         }
     }
 
-    /** {@code retryAfter} in tenths of a millisecond, 0 for no advice. */
+    /** {@code retryAfter} in tenths of a millisecond, 0 for none. */
     void deny(OpenExchange ex, long retryAfter, boolean noRetry, long now) {
         if (!ex.hasAnswer) {
             denied++;
@@ -249,15 +249,15 @@
 
     /** Asks the stub to close the connection: requests that cross this message are answered and not lost. */
     private void drainAndClose(StubConnection stub, long now) {
-        drainConnections(stub);
+        drainConnection(stub);
         scheduleClose(now + limits.closeTimeoutTenthsMs, stub);
     }
 
-    /** Closes it for a stub that does not; the time starts again while an exchange is open or partly received. */
+    /** Closes the connection if the stub has not; waits again while an exchange is open or partly received. */
     private void scheduleClose(long dueAt, StubConnection stub) {
         thread.schedule(dueAt, () -> {
-            if (connections.contains(stub) && stub.isIdle() && !isReceiving(stub, limits.closeTimeoutTenthsMs,
-                    thread.now())) {
+            if (connections.contains(stub) && stub.isIdle()
+                    && !isReceiving(stub, limits.closeTimeoutTenthsMs, thread.now())) {
                 closeConnection(stub);
             } else if (connections.contains(stub)) {
                 scheduleClose(dueAt + limits.closeTimeoutTenthsMs, stub);
@@ -359,7 +359,7 @@
     void drainConnections() {
         connectionsDraining = true;
         for (StubConnection stub : connections) {
-            drainConnections(stub);
+            drainConnection(stub);
         }
     }
 
@@ -375,7 +375,7 @@
                 && lingering.stream().allMatch(stub -> stub.connection.isHalfClosed() || stub.connection.isClosed());
     }
 
-    private void drainConnections(StubConnection stub) {
+    private void drainConnection(StubConnection stub) {
         if (!stub.draining) {
             stub.draining = true;
             stub.connection.send(Frames.goAway());
--- a/instance/src/main/java/vetchrill/routing/IdempotencyCache.java
+++ b/instance/src/main/java/vetchrill/routing/IdempotencyCache.java
@@ -79,10 +79,10 @@
         return entriesByKey.size() >= limits.maxStoredKeys;
     }
 
-    /** Stores the key of an exchange for {@code timeToLive} from now. */
-    void storeKey(OpenExchange ex, long timeToLive) {
+    /** Stores the key of an exchange for {@code ttl} from now. */
+    void storeKey(OpenExchange ex, long ttl) {
         Key key = ex.idempotencyKey;
-        Entry entry = new Entry(ex, thread.now() + timeToLive + limits.closeRaceWindowTenthsMs);
+        Entry entry = new Entry(ex, thread.now() + ttl + limits.closeRaceWindowTenthsMs);
         ex.cacheEntry = entry;
         entriesByKey.put(key, entry);
         // A repeat that arrived in time may be read until its own deadline; after that it is not run in any case.
--- a/instance/src/main/java/vetchrill/routing/ProcessingChain.java
+++ b/instance/src/main/java/vetchrill/routing/ProcessingChain.java
@@ -85,7 +85,7 @@
         link.start();
     }
 
-    /** Does all of the start but its threads: the caller runs the link and the health reports. */
+    /** Prepares the start without starting threads: the caller runs the link and the health reports. */
     public InterpreterLink prepare(InetSocketAddress interpreter, InterpreterLink.Dialer dialer) {
         link = new InterpreterLink(interpreter, limits, dialer, readers, writers, connection -> {
             thread.post(() -> interpreterClient.onLinkOpened(connection, lastNoticeNumber));
@@ -176,7 +176,7 @@
         LOG.log(System.Logger.Level.INFO, "the interpreter is up: state {0}, started {1} ms ago; {2} exchanges open",
                 state, interpreterAge / 10, registry.openCount());
         if (firstBanner) {
-            // It may have started long after this process, and the cores warm up from the interpreter's start.
+            // Warm-up counts from the interpreter's start, which may be long after that of this process.
             settings.deployment.startsCold |= state.equals("new");
             admission.onInterpreterUp(decisionExecutor, clock.now() - interpreterAge);
         }
@@ -229,8 +229,9 @@
     }
 
     private void finishWhenFlushed(Runnable onFinished) {
-        if (registry.isAllFlushed() || clock.now() >= connectionsClosedAt
-                + (limits.stopReadingLeadTenthsMs - limits.exitLeadTenthsMs) / 2) {
+        if (registry.isAllFlushed()
+                || clock.now() >= connectionsClosedAt
+                        + (limits.stopReadingLeadTenthsMs - limits.exitLeadTenthsMs) / 2) {
             onFinished.run();
         } else {
             thread.schedule(clock.now() + limits.makeRoomPollTenthsMs, () -> finishWhenFlushed(onFinished));
--- a/instance/src/main/java/vetchrill/routing/StubFrameHandler.java
+++ b/instance/src/main/java/vetchrill/routing/StubFrameHandler.java
@@ -142,9 +142,7 @@
         return null;
     }
 
-    /**
-     * ASCII digits only: the interpreter would not know an id in other scripts, and may close the link over the line.
-     */
+    /** ASCII only: {@code Character.digit} accepts other scripts, for which the interpreter may close the link. */
     private static boolean isHex(String id) {
         for (int i = 0; i < id.length(); i++) {
             if (id.charAt(i) > 'f' || Character.digit(id.charAt(i), 16) < 0) {
@@ -163,7 +161,7 @@
         return keepsReading();
     }
 
-    /** Answers a frame that is no valid exchange with an error on its stream. */
+    /** Answers a frame that is not a valid exchange with an error on its stream. */
     private void rejectMalformed(int stream, String error) {
         countViolation(error);
         stub.connection.send(Frames.terminated(stream));
--- a/instance/src/main/java/vetchrill/transport/Connection.java
+++ b/instance/src/main/java/vetchrill/transport/Connection.java
@@ -99,10 +99,9 @@
         }
         int ownUnsent = unsentBytes.addAndGet(size);
         long totalUnsent = totalUnsentBytes.addAndGet(size);
-        // The total protects the heap from many slow peers at once; a connection with little unsent is not aborted
-        // for it.
-        if (ownUnsent > limits.maxUnsentPerConnectionBytes || totalUnsent > limits.maxTotalUnsentBytes
-                && ownUnsent > limits.maxBufferedFrameBytes) {
+        // The total protects the heap from many slow peers at once; it aborts no connection with little unsent.
+        if (ownUnsent > limits.maxUnsentPerConnectionBytes
+                || totalUnsent > limits.maxTotalUnsentBytes && ownUnsent > limits.maxBufferedFrameBytes) {
             abort();
         }
         if (aborted.get()) {
@@ -200,8 +199,7 @@
                 Object next = sendQueue.poll();
                 int batchedBytes = 0;
                 int writtenBytes = 0;
-                // Queued messages are combined into one write because each write costs a context switch on a shared
-                // core.
+                // Queued messages are combined, because each write costs a context switch on a shared core.
                 while (next != null && next != CLOSE_MARK) {
                     Object following = sendQueue.poll();
                     if (next instanceof ConditionalMessage conditional) {
--- a/instance/src/main/java/vetchrill/transport/Limits.java
+++ b/instance/src/main/java/vetchrill/transport/Limits.java
@@ -90,7 +90,7 @@
     public final long firstFrameTimeoutTenthsMs = 20_000;
     /** An exchange that crosses a close in this time is sent to another instance by its stub. */
     public final long closeRaceWindowTenthsMs = 500;
-    /** Pause between attempts to free a connection slot for a new connection. */
+    /** Interval at which a new connection waits for a free slot, and the end of a drain for unsent answers. */
     public final long makeRoomPollTenthsMs = 50;
     /** After this many attempts {@link #hardMaxConnections} applies. */
     public final int maxMakeRoomAttempts = 100;
--- a/instance/src/main/java/vetchrill/wire/LineWriter.java
+++ b/instance/src/main/java/vetchrill/wire/LineWriter.java
@@ -2,6 +2,8 @@
 
 import java.io.IOException;
 import java.io.OutputStream;
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
 
 /** Builds the reply to a batch in memory and sends it as a whole. */
 final class LineWriter {
@@ -53,9 +55,9 @@
     }
 
     private LineWriter append(String text) {
-        byte[] bytes = text.getBytes(java.nio.charset.StandardCharsets.UTF_8);
+        byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         if (size + bytes.length > buffer.length) {
-            buffer = java.util.Arrays.copyOf(buffer, Math.max(buffer.length * 2, size + bytes.length));
+            buffer = Arrays.copyOf(buffer, Math.max(buffer.length * 2, size + bytes.length));
         }
         System.arraycopy(bytes, 0, buffer, size, bytes.length);
         size += bytes.length;
--- a/instance/src/test/java/vetchrill/wire/WireHostTest.java
+++ b/instance/src/test/java/vetchrill/wire/WireHostTest.java
@@ -57,9 +57,9 @@
             {open + BORN + "inbound rid=1 type=9\n", "line 4: 'inbound' without a known 'type'"},
             {open + BORN + "wants_call rid=5\n", "line 4: 'wants_call' with an 'rid' unknown to instance 3: 5"},
             {open + BORN + "run_over rid\n", "line 4: a field that is not key=value in 'run_over'"},
-            {open + "at instance=3\nborn salt=1 options={\n", "line 3: options are no JSON"},
+            {open + "at instance=3\nborn salt=1 options={\n", "line 3: options are not valid JSON: "},
             {open + "at instance=3\nborn salt=1 options={\"categories\":[{\"effect\":\"free\"}],"
-                    + "\"customers\":{\"\":0}}\n", "line 3: customers is no list"},
+                    + "\"customers\":{\"\":0}}\n", "line 3: customers is not a list"},
             {"sync tsMs=1.5.1 seq=1\n", "line 1: 'tsMs' of 'sync' should be a number, not '1.5.1'"},
             {open, "line 1: the input ends in the middle of a batch"},
             {open + "com", "line 2: the input ends in the middle of a line"},
--- a/lab/src/test/java/vetchrill/InstanceRig.java
+++ b/lab/src/test/java/vetchrill/InstanceRig.java
@@ -210,14 +210,14 @@
         final vetchrill.standin.FakeInterpreter fake;
 
         FakeInterpreter() throws IOException {
-            fake = new vetchrill.standin.FakeInterpreter(work(), false);
+            fake = new vetchrill.standin.FakeInterpreter(commandHandler(), false);
         }
 
         private FakeInterpreter(vetchrill.standin.FakeInterpreter from) throws IOException {
-            fake = from.copyAtNewPort(work());
+            fake = from.copyAtNewPort(commandHandler());
         }
 
-        private vetchrill.standin.FakeInterpreter.CommandHandler work() {
+        private vetchrill.standin.FakeInterpreter.CommandHandler commandHandler() {
             return new vetchrill.standin.FakeInterpreter.CommandHandler() {
                 @Override
                 public void apply(String id, String group, byte[] body) {
@@ -325,8 +325,7 @@
         /** Builds an exchange that arrived at the host at a time in Unix milliseconds. */
         public static byte[] exchange(int stream, String group, String id, String body, long arrivedAtMs) {
             return frame(2, stream, payload(body, "method", group, "rid", id, "t0", Long.toString(arrivedAtMs),
-                    "peer", "4", "acct", "acme", "mem", "24.5",
-                    "prio", "0.6250"));
+                    "peer", "4", "acct", "acme", "mem", "24.5", "prio", "0.6250"));
         }
 
         public void send(byte[] bytes) throws IOException {
--- a/lab/src/test/java/vetchrill/program/ConcurrentEventsTest.java
+++ b/lab/src/test/java/vetchrill/program/ConcurrentEventsTest.java
@@ -230,8 +230,9 @@
 
     /** One id on two connections: while the first runs, and after the connection of the first was reset. */
     public void duplicateIdIsNotRunWhileTheFirstRunGoesOn() throws Exception {
-        try (InstanceRig rig = new InstanceRig()
-                .startHealthy(); StubClient first = rig.connectStub(); StubClient second = rig.connectStub()) {
+        try (InstanceRig rig = new InstanceRig().startHealthy();
+                StubClient first = rig.connectStub();
+                StubClient second = rig.connectStub()) {
             awaitNext(rig.interpreter.commands, "a link");
             first.sendExchange(1, "note", A, "");
             awaitNext(rig.interpreter.commands, "a run");
--- a/lab/src/test/java/vetchrill/program/IdempotencyTest.java
+++ b/lab/src/test/java/vetchrill/program/IdempotencyTest.java
@@ -46,8 +46,9 @@
     }
 
     public void retryIsAnsweredFromTheOriginalAndNotRun() throws Exception {
-        try (InstanceRig rig = rig()
-                .startHealthy(); StubClient stub = rig.connectStub(); StubClient other = rig.connectStub()) {
+        try (InstanceRig rig = rig().startHealthy();
+                StubClient stub = rig.connectStub();
+                StubClient other = rig.connectStub()) {
             awaitNext(rig.interpreter.commands, "a link");
             String first = pay(stub, 1, "t1", "one");
             assertEquals(awaitNext(rig.interpreter.commands, "a run"), applyCommand(first, "one"));
@@ -63,8 +64,9 @@
     }
 
     public void runGoesOnForARetryAfterTheFirstConnectionIsReset() throws Exception {
-        try (InstanceRig rig = rig()
-                .startHealthy(); StubClient stub = rig.connectStub(); StubClient other = rig.connectStub()) {
+        try (InstanceRig rig = rig().startHealthy();
+                StubClient stub = rig.connectStub();
+                StubClient other = rig.connectStub()) {
             awaitNext(rig.interpreter.commands, "a link");
             String first = pay(stub, 1, "t1", "one");
             awaitNext(rig.interpreter.commands, "a run");
--- a/lab/src/test/java/vetchrill/program/InstanceRunnerTest.java
+++ b/lab/src/test/java/vetchrill/program/InstanceRunnerTest.java
@@ -8,6 +8,10 @@
 import static vetchrill.InstanceRig.awaitNext;
 
 import java.io.IOException;
+import java.net.ConnectException;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -153,7 +157,7 @@
                 stub.sendExchange(1, "look", A, "");
                 assertEquals(stub.read().code() > 0, true, "accepted and answered while connections are accepted");
                 assertEquals(stub.read().type(), 64);
-                assertThrows(java.net.ConnectException.class, rig::connectStub);
+                assertThrows(ConnectException.class, rig::connectStub);
                 assertTrue(rig.isAlive());
             }
         }
@@ -161,9 +165,9 @@
 
     public void linkWithoutAnAnswerIsRetriedSoon() throws Exception {
         try (InstanceRig rig = new InstanceRig().startHealthy();
-                java.net.ServerSocket full = new java.net.ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress());
-                java.net.Socket one = new java.net.Socket(full.getInetAddress(), full.getLocalPort());
-                java.net.Socket two = new java.net.Socket(full.getInetAddress(), full.getLocalPort())) {
+                ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+                Socket one = new Socket(full.getInetAddress(), full.getLocalPort());
+                Socket two = new Socket(full.getInetAddress(), full.getLocalPort())) {
             rig.replaceConfiguration(full.getLocalPort());
             rig.awaitLog("configuration read again");
             Thread.sleep(150);
@@ -193,8 +197,9 @@
 
     /** Found by fuzzing: a run lost with its link held its slot forever if its stub was disconnected as well. */
     public void runOfUnknownStateIsQueriedAfterItsStubWasReset() throws Exception {
-        try (InstanceRig rig = new InstanceRig()
-                .startHealthy(); StubClient stub = rig.connectStub(); StubClient other = rig.connectStub()) {
+        try (InstanceRig rig = new InstanceRig().startHealthy();
+                StubClient stub = rig.connectStub();
+                StubClient other = rig.connectStub()) {
             awaitNext(rig.interpreter.commands, "a link");
             stub.sendExchange(1, "note", A, "");
             awaitNext(rig.interpreter.commands, "a run");
@@ -221,8 +226,9 @@
     }
 
     public void slowSenderOrReaderDelaysNoOtherStub() throws Exception {
-        try (InstanceRig rig = new InstanceRig()
-                .startHealthy(); StubClient slow = rig.connectStub(); StubClient nonReader = rig.connectStub();
+        try (InstanceRig rig = new InstanceRig().startHealthy();
+                StubClient slow = rig.connectStub();
+                StubClient nonReader = rig.connectStub();
                 StubClient quick = rig.connectStub()) {
             awaitNext(rig.interpreter.commands, "a link");
             byte[] frame = StubClient.exchange(1, "look", A, "slow");
@@ -275,7 +281,7 @@
         }
     }
 
-    public void malformedExchangeIsAnsweredOnItsStreamAndTheConnectionLives() throws Exception {
+    public void malformedExchangeIsAnsweredOnItsStreamAndTheConnectionStaysOpen() throws Exception {
         try (InstanceRig rig = new InstanceRig().startHealthy(); StubClient stub = rig.connectStub()) {
             String t0 = Long.toString(System.currentTimeMillis());
             String[] right = {"method", "look", "rid", A, "t0", t0, "peer", "4", "acct", "acme", "mem", "1", "prio",
@@ -323,8 +329,9 @@
     }
 
     public void stubThatSendsOnlyMalformedFramesIsClosedOnceItsExchangesAreAnswered() throws Exception {
-        try (InstanceRig rig = new InstanceRig()
-                .startHealthy(); StubClient stub = rig.connectStub(); StubClient other = rig.connectStub()) {
+        try (InstanceRig rig = new InstanceRig().startHealthy();
+                StubClient stub = rig.connectStub();
+                StubClient other = rig.connectStub()) {
             awaitNext(rig.interpreter.commands, "a link");
             stub.sendExchange(1, "look", A, "");
             awaitNext(rig.interpreter.commands, "a run");
@@ -344,12 +351,12 @@
     public void brokenFramingEndsTheConnectionOnceItsExchangesAreAnswered() throws Exception {
         try (InstanceRig rig = new InstanceRig().startHealthy(); StubClient other = rig.connectStub()) {
             awaitNext(rig.interpreter.commands, "a link");
-            for (byte[] rubbish : List.of(new byte[] {0, 0, 0, 4, 2, 0, 0, 0, 9}, "GET / HTTP/1.1\r\n\r\n".getBytes(),
+            for (byte[] malformed : List.of(new byte[] {0, 0, 0, 4, 2, 0, 0, 0, 9}, "GET / HTTP/1.1\r\n\r\n".getBytes(),
                     StubClient.frame(3, 1, new byte[0]))) {
                 try (StubClient stub = rig.connectStub()) {
                     stub.sendExchange(1, "look", A, "");
                     awaitNext(rig.interpreter.commands, "a run");
-                    stub.send(rubbish);
+                    stub.send(malformed);
                     assertEquals(stub.read(), new StubClient.Frame(4, 0, 69, "\0"));
                     rig.interpreter.value(A, "good", "");
                     assertEquals(stub.read(), new StubClient.Frame(4, 1, 79, "\0"));
@@ -361,9 +368,9 @@
     }
 
     public void afterALinkFailureNoMutatingRunStartsTwiceAndNoneIsLost() throws Exception {
-        InstanceRig patientRig = new InstanceRig();
-        patientRig.replacements.put("\"deadlineMs\":30000", "\"deadlineMs\":5000");
-        try (InstanceRig rig = patientRig.startHealthy(); StubClient stub = rig.connectStub()) {
+        InstanceRig shortDeadlineRig = new InstanceRig();
+        shortDeadlineRig.replacements.put("\"deadlineMs\":30000", "\"deadlineMs\":5000");
+        try (InstanceRig rig = shortDeadlineRig.startHealthy(); StubClient stub = rig.connectStub()) {
             awaitNext(rig.interpreter.commands, "a link");
             stub.sendExchange(1, "look", A, "");
             stub.sendExchange(2, "note", B, "");
@@ -417,8 +424,9 @@
     }
 
     public void idleConnectionIsDrainedButOneForHealthChecksIsNot() throws Exception {
-        try (InstanceRig rig = new InstanceRig()
-                .startHealthy(); StubClient stub = rig.connectStub(); StubClient checks = rig.connectStub()) {
+        try (InstanceRig rig = new InstanceRig().startHealthy();
+                StubClient stub = rig.connectStub();
+                StubClient checks = rig.connectStub()) {
             awaitNext(rig.interpreter.commands, "a link");
             assertEquals(checks.checkHealth(), 79);
             stub.sendExchange(1, "look", A, "");
@@ -523,7 +531,8 @@
         try (InstanceRig rig = new InstanceRig()) {
             rig.replacements.put("\"idleMs\":15000", "\"idleMs\":1500");
             rig.startHealthy();
-            try (StubClient unused = rig.connectStub(); StubClient silent = rig.connectStub();
+            try (StubClient unused = rig.connectStub();
+                    StubClient silent = rig.connectStub();
                     StubClient half = rig.connectStub();
                     StubClient busy = rig.connectStub()) {
                 awaitNext(rig.interpreter.commands, "a link");
--- a/lab/src/test/java/vetchrill/protocol/MessageSplittingTest.java
+++ b/lab/src/test/java/vetchrill/protocol/MessageSplittingTest.java
@@ -46,9 +46,9 @@
                 public boolean onFrame(int type, int stream, byte[] buf, int from, int to) {
                     Fields fields = new Fields();
                     String error = fields.parse(buf, from, to);
-                    seen.add(type + " " + stream + " " + error + " " + fields.text("rid") + " "
-                            + fields.number("mem") + " " + new String(buf, fields.bodyOffset(),
-                            to - fields.bodyOffset(), StandardCharsets.ISO_8859_1));
+                    seen.add(type + " " + stream + " " + error + " " + fields.text("rid") + " " + fields.number("mem")
+                            + " " + new String(buf, fields.bodyOffset(), to - fields.bodyOffset(),
+                                    StandardCharsets.ISO_8859_1));
                     return true;
                 }
 
