--- a/lab/src/main/java/vetchrill/peering/InjectedFaults.java
+++ b/lab/src/main/java/vetchrill/peering/InjectedFaults.java
@@ -13,31 +13,37 @@
 import vetchrill.store.FolderDisk;
 
 /**
- * What a rig does to one process of its own, by a file that it may change at any time: words {@code clock_ms=N}, by
- * which the system's clock is off, and {@code disk=full}. What the store has not synced goes with the process, as it
- * does with the power, but for some of it, drawn by {@code seed=S}; {@code lose_at=N}, read at the start: the power
- * goes at the Nth write point. Nothing of it is there without {@code serve --rigged}.
+ * Faults that a test rig injects into one instance process started with {@code serve --rigged FILE}; without that
+ * option there are none. The file holds settings separated by white space and may change at any time:
+ * {@code clock_ms=N} moves the wall clock by N ms, {@code disk=full} fails every change of the disk, and with
+ * {@code lose_at=N} the process halts at its Nth write point. {@code seed=S} counts as it is at the start and seeds the
+ * choice of the unsynced data that reaches the disk. All other data that the store has not synced is lost with the
+ * process, as in a power loss.
  */
 public final class InjectedFaults implements AuditWriter.Disk {
     private static final int POLL_INTERVAL_MS = 10;
-    /** Part of the calls at which some of what is not synced comes to the disk all the same. */
+    private static final int THREAD_STACK_BYTES = 128 << 10;
+    /** Fraction of writes and deletions after which some unsynced data reaches the disk all the same. */
     private static final double SPILL_RATIO = 0.3;
-    /** What a process exits with whose power went at a write point. */
+    /** Exit code after a simulated power loss, the same as after SIGKILL. */
     private static final int POWER_LOSS_EXIT_CODE = 137;
 
+    /** Null if no faults are injected. */
     private final Path file;
     private volatile long clockOffsetMs;
     private volatile boolean diskFull;
+    /** The write point at which the power is lost; 0 for never. */
     private long powerLossPoint;
     private long seed;
+    /** Write points passed so far. */
     private long writePoints;
 
-    /** Null for none. */
+    /** {@code file} holds the faults to inject; null for none. */
     public InjectedFaults(Path file) {
         this.file = file;
         if (file != null) {
             readFile();
-            Thread thread = new Thread(null, this::pollFile, "rigged", 128 << 10);
+            Thread thread = new Thread(null, this::pollFile, "rigged", THREAD_STACK_BYTES);
             thread.setDaemon(true);
             thread.start();
         }
@@ -73,34 +79,34 @@
             clockOffsetMs = offsetMs;
             diskFull = isFull;
         } catch (IOException | NumberFormatException e) {
-            // It is being written just now: the next look reads it whole.
+            // The rig may be writing the file at this moment; the next poll reads the whole of it.
         }
     }
 
-    /** Milliseconds of Unix time. */
+    /** Unix time in milliseconds, by the clock with the injected offset. */
     public long wallTimeMs() {
         return System.currentTimeMillis() + clockOffsetMs;
     }
 
-    /** The same in tenths of a millisecond. */
+    /** Unix time in tenths of a millisecond, by the clock with the injected offset. */
     public long wallTimeTenthsMs() {
         java.time.Instant now = java.time.Instant.now();
         return now.getEpochSecond() * 10_000 + now.getNano() / 100_000 + clockOffsetMs * 10;
     }
 
-    /** The disk of what must not be forgotten, as the rig has it. */
+    /** Opens and locks the durable store's folder, with power losses simulated if faults are injected. */
     public Disk openDisk(Path folder) throws IOException {
         FolderDisk disk = FolderDisk.openLocked(folder);
         if (file == null) {
             return disk;
         }
         return new PowerLossDisk(new FolderMedia(disk, folder), new SplittableRandom(seed), SPILL_RATIO,
-                call -> passWritePoint());
+                point -> passWritePoint());
     }
 
     private void passWritePoint() throws IOException {
         if (++writePoints == powerLossPoint) {
-            // No hook runs, no stream is flushed: as the power goes.
+            // As in a power loss, no shutdown hook runs and no stream is flushed.
             Runtime.getRuntime().halt(POWER_LOSS_EXIT_CODE);
         }
         failIfDiskFull();
@@ -115,7 +121,7 @@
     @Override
     public void write(FileChannel to, ByteBuffer bytes) throws IOException {
         if (diskFull && bytes.remaining() > 1) {
-            // As a disk does that fills up: a part of it is there.
+            // A disk that fills up has stored a part of the last write.
             ByteBuffer part = bytes.slice(bytes.position(), bytes.remaining() / 2);
             AuditWriter.FILE_SYSTEM.write(to, part);
         }
--- a/lab/src/main/java/vetchrill/peering/OperatorConfigReader.java
+++ b/lab/src/main/java/vetchrill/peering/OperatorConfigReader.java
@@ -7,16 +7,27 @@
 import vetchrill.hcl.ConfigBlock;
 import vetchrill.versions.VersionsConfig;
 
-/** What an operator's file says of versions and of the record, in its blocks {@code versions} and {@code audit}. */
+/** Reads the blocks {@code versions} and {@code audit} of the operator's file. */
 public final class OperatorConfigReader {
     private OperatorConfigReader() {
     }
 
-    /** What is agreed on, where it is kept, and in how many octets at most. */
+    /**
+     * The block {@code versions}.
+     *
+     * @param directory of the durable store
+     * @param maxStoreBytes capacity of the durable store
+     */
     public record VersionsBlock(VersionsConfig config, Path directory, long maxStoreBytes) {
     }
 
-    /** Null where the file has no such block, or it is off. Mistakes are noted in the file and told by its check. */
+    /**
+     * Reads the block {@code versions}; null if there is none or it is off. Mistakes are collected in the block and
+     * reported when the file is checked.
+     *
+     * @param peers null if the file has no block {@code peers} that is on
+     * @param name of this instance
+     */
     public static VersionsBlock readVersions(ConfigBlock root, PeersConfig peers, String name) {
         if (!root.hasBlock("versions")) {
             return null;
@@ -36,7 +47,7 @@
         }
         if (peers == null) {
             if (on) {
-                block.addError("on", "is true, which needs a block peers that is on");
+                block.addError("on", "is true, which requires a block peers that is on");
             }
             return null;
         }
@@ -44,7 +55,7 @@
         knownInstances.add(name);
         for (String each : voters) {
             if (!knownInstances.contains(each)) {
-                block.addError("keepers", "names " + each + ", which is no peer and not this instance");
+                block.addError("keepers", "names " + each + ", which is neither a peer nor this instance");
             }
         }
         if (voters.size() % 2 == 0 || voters.stream().distinct().count() < voters.size()) {
@@ -53,12 +64,11 @@
         }
         return on
                 ? new VersionsBlock(new VersionsConfig(new ArrayList<>(peers.peerAddresses.keySet()), voters,
-                Math.round(leaseMs * 10),
-                Math.round(gossipPeriodMs * 10), Math.round(stragglerTimeoutMs * 10), serveWithoutQuorum), directory,
-                (long) (storeMb * (1 << 20))) : null;
+                Math.round(leaseMs * 10), Math.round(gossipPeriodMs * 10), Math.round(stragglerTimeoutMs * 10),
+                serveWithoutQuorum), directory, (long) (storeMb * (1 << 20))) : null;
     }
 
-    /** Null where the file has no such block, or it is off. */
+    /** Reads the block {@code audit}; null if there is none or it is off. */
     public static AuditConfig readAudit(ConfigBlock root) {
         if (!root.hasBlock("audit")) {
             return null;
--- a/lab/src/main/java/vetchrill/peering/PeeringExtension.java
+++ b/lab/src/main/java/vetchrill/peering/PeeringExtension.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.security.SecureRandom;
 import java.util.function.LongSupplier;
@@ -9,20 +10,23 @@
 import vetchrill.audit.AuditConfig;
 import vetchrill.audit.AuditWriter;
 import vetchrill.audit.HybridLogicalClock;
-import vetchrill.peers.VersionService;
-import vetchrill.peers.PeerService;
 import vetchrill.peers.InstanceStore;
+import vetchrill.peers.PeerService;
+import vetchrill.peers.VersionService;
 import vetchrill.program.InstanceRunner;
 import vetchrill.protocol.DeploymentReader;
-import vetchrill.routing.ProcessingChain;
 import vetchrill.routing.Clock;
+import vetchrill.routing.ProcessingChain;
 import vetchrill.transport.Limits;
 import vetchrill.versions.Digests;
 import vetchrill.versions.Version;
 
-/** What an instance has beside its chain where an operator's file says so: peers, versions, the record. */
+/**
+ * Starts what the operator's file switches on in a served instance beside its processing chain: membership among peers,
+ * agreement on versions with its durable store, and the audit log.
+ */
 public final class PeeringExtension implements InstanceRunner.Extension {
-    /** What peers may take: some hundred connections, and words that wait. */
+    /** Enough for some hundred connections and their queued messages. */
     private static final long PEER_MEMORY_BYTES = 64L << 20;
     private static final int MAX_PEER_DESCRIPTORS = 512;
 
@@ -31,20 +35,25 @@
     private final PeersConfig peers;
     private final OperatorConfigReader.VersionsBlock versions;
     private final InjectedFaults faults;
-    /** The digest of the program; empty where nothing asks for it. */
+    /** Empty if neither versions nor the audit log needs it. */
     private final String programDigest;
     private final HybridLogicalClock hybridClock;
     private final SecureRandom random = new SecureRandom();
+    /** Tells this process from others under the same name. */
     private final long nonce = random.nextLong() & Long.MAX_VALUE;
     public final Clock clock;
-    /** Null where no record is kept. */
+    /** Null if the audit log is off. */
     public final AuditWriter audit;
     private PeerService peerService;
 
-    /** {@code rigged} is null outside of a rig; {@code told} is what the instance is told at its start. */
+    /**
+     * Each of {@code peers}, {@code versions} and {@code audit} may be null, which switches it off.
+     *
+     * @param configuration the configuration that the instance is started with
+     * @param faultFile the faults that a test rig injects; null outside of a rig
+     */
     public PeeringExtension(String name, JsonNode configuration, PeersConfig peers,
-            OperatorConfigReader.VersionsBlock versions, AuditConfig audit,
-            Path faultFile) throws IOException {
+            OperatorConfigReader.VersionsBlock versions, AuditConfig audit, Path faultFile) throws IOException {
         this.name = name;
         this.peers = peers;
         this.versions = versions;
@@ -54,9 +63,9 @@
         hybridClock = new HybridLogicalClock(this.faults::wallTimeMs);
         clock = faultFile == null ? new Clock() : new Clock(this.faults::wallTimeTenthsMs, System::nanoTime);
         this.audit = audit == null ? null : new AuditWriter(audit, name, nonce, "zone "
-                + (peers == null ? "" : peers.zone) + " text " + programDigest + " policy "
-                + ProgramDigests.policyDigest()
-                + " settings " + Digests.of(settings.toString().getBytes(java.nio.charset.StandardCharsets.UTF_8)),
+                + (peers == null ? "" : peers.zone) + " text " + programDigest
+                + " policy " + ProgramDigests.policyDigest()
+                + " settings " + Digests.of(settings.toString().getBytes(StandardCharsets.UTF_8)),
                 hybridClock, this.faults);
     }
 
@@ -67,14 +76,12 @@
         }
         LongSupplier clockTenthsMs = clock::now;
         VersionService versionService = versions == null ? null : new VersionService(versions.config(), name,
-                peers.zone,
-                programDigest, nonce,
+                peers.zone, programDigest, nonce,
                 new InstanceStore(faults.openDisk(versions.directory()), name, versions.maxStoreBytes()),
                 random.nextLong(), clockTenthsMs, hybridClock, audit, new ManagedChain(chain));
-        // Another process under its name ends this one as the notice to leave does: nothing that is held is lost.
+        // Replaced by another process with its name, this one drains as on SIGTERM, so no pending exchange is lost.
         peerService = new PeerService(peers.membership, name, peers.zone, peers.listen, peers.peerAddresses, nonce,
-                random.nextLong(),
-                new Limits(PEER_MEMORY_BYTES, MAX_PEER_DESCRIPTORS), clockTenthsMs,
+                random.nextLong(), new Limits(PEER_MEMORY_BYTES, MAX_PEER_DESCRIPTORS), clockTenthsMs,
                 () -> Signal.raise(new Signal("TERM")), versionService);
         peerService.start();
     }
@@ -86,7 +93,7 @@
         }
     }
 
-    /** The instance as versions change it. */
+    /** The processing chain, as the version service validates and activates versions on it. */
     private final class ManagedChain implements VersionService.ManagedInstance {
         private final ProcessingChain chain;
 
@@ -104,7 +111,7 @@
                 }
                 return obstacle;
             } catch (IOException | IllegalArgumentException e) {
-                return "settings are of no use: " + String.valueOf(e.getMessage()).split("\n")[0];
+                return "invalid settings: " + String.valueOf(e.getMessage()).split("\n")[0];
             }
         }
 
--- a/lab/src/main/java/vetchrill/peering/PeersConfig.java
+++ b/lab/src/main/java/vetchrill/peering/PeersConfig.java
@@ -6,13 +6,15 @@
 import vetchrill.hcl.ConfigBlock;
 import vetchrill.members.MembershipConfig;
 
-/** What an operator's file says of the other instances, in its block {@code peers}. */
+/** The block {@code peers} of the operator's file: the other instances, and the timing of the membership protocol. */
 public final class PeersConfig {
-    public static final String ADDRESS_FORMAT_MESSAGE = "should be an address and a port, as 10.0.0.4:7565";
+    /** Says how an address must be written; for the mistakes of other files and options too. */
+    public static final String ADDRESS_FORMAT_MESSAGE = "should be an IPv4 address and a port, such as 10.0.0.4:7565";
 
     public final String zone;
-    /** The only address on which peers are listened to. */
+    /** The only address at which connections of peers are accepted. */
     public final InetSocketAddress listen;
+    /** The addresses of the other instances by name. */
     public final Map<String, InetSocketAddress> peerAddresses = new TreeMap<>();
     public final MembershipConfig membership;
 
@@ -35,7 +37,7 @@
                 MembershipConfig.DEFAULT.maxSuspicionFactor(), Math.round(syncPeriodMs * 10));
         for (ConfigBlock peer : block.blocks("peer")) {
             if (peerAddresses.put(peer.label(), parseAddress(peer, "address")) != null) {
-                peer.addError("address", "is of a peer named a second time");
+                peer.addError("address", "belongs to a peer that is listed twice");
             }
         }
     }
@@ -49,7 +51,7 @@
         return address == null ? new InetSocketAddress(0) : address;
     }
 
-    /** Null for what is none. */
+    /** Parses an IPv4 address with a port; null if the text is anything else. */
     public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         String port = text.substring(colon + 1);
@@ -58,7 +60,10 @@
                 ? new InetSocketAddress(text.substring(0, colon), Integer.parseInt(port)) : null;
     }
 
-    /** Null where the file has no such block. Mistakes are noted in the file and told by its check. */
+    /**
+     * Reads the block {@code peers}; null if there is none or it is off. Mistakes are collected in the block and
+     * reported when the file is checked.
+     */
     public static PeersConfig read(ConfigBlock root) {
         if (!root.hasBlock("peers")) {
             return null;
--- a/lab/src/main/java/vetchrill/peering/ProgramDigests.java
+++ b/lab/src/main/java/vetchrill/peering/ProgramDigests.java
@@ -3,6 +3,7 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.URISyntaxException;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.security.MessageDigest;
@@ -11,16 +12,17 @@
 import vetchrill.control.OverloadController;
 import vetchrill.versions.Digests;
 
-/** Which program this is, as digests: of its text, the jar or the folder of classes, and of the module alone. */
+/** SHA-256 digests that identify the running program and the class of its overload policy. */
 public final class ProgramDigests {
     private ProgramDigests() {
     }
 
+    /** The digest of the running program. */
     public static String digest() throws IOException {
         return digest(location());
     }
 
-    /** Where the instance's program lies: a jar, or the folder of its classes. */
+    /** The jar of the running instance, or the folder of its classes. */
     public static Path location() throws IOException {
         try {
             return Path.of(OverloadController.class.getProtectionDomain().getCodeSource().getLocation().toURI());
@@ -29,7 +31,7 @@
         }
     }
 
-    /** The digest of the program that lies there. */
+    /** The digest of the program in that jar or class folder; of a folder it covers file names and contents. */
     public static String digest(Path location) throws IOException {
         MessageDigest sha = Digests.sha256();
         if (Files.isRegularFile(location)) {
@@ -40,13 +42,14 @@
                 files = walk.filter(Files::isRegularFile).sorted().toList();
             }
             for (Path each : files) {
-                sha.update(location.relativize(each).toString().getBytes(java.nio.charset.StandardCharsets.UTF_8));
+                sha.update(location.relativize(each).toString().getBytes(StandardCharsets.UTF_8));
                 sha.update(Files.readAllBytes(each));
             }
         }
         return HexFormat.of().formatHex(sha.digest());
     }
 
+    /** The digest of the class {@link OverloadController}. */
     public static String policyDigest() throws IOException {
         try (InputStream in = OverloadController.class.getResourceAsStream("OverloadController.class")) {
             return Digests.of(in.readAllBytes());
--- a/lab/src/test/java/vetchrill/peering/PeersTest.java
+++ b/lab/src/test/java/vetchrill/peering/PeersTest.java
@@ -20,14 +20,14 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 import vetchrill.InstanceRig;
-import vetchrill.standin.LinkProxy;
-import vetchrill.standin.Ports;
 import vetchrill.members.MemberInfo;
 import vetchrill.members.MemberInfo.State;
 import vetchrill.members.MembershipMessage;
 import vetchrill.peers.PeerClient;
+import vetchrill.standin.LinkProxy;
+import vetchrill.standin.Ports;
 
-/** Stories of five real instances that hear each other, with faults between every ordered pair of them. */
+/** Membership of five real instance processes, with faults injected on the link of every ordered pair. */
 @Test
 public class PeersTest {
     private static final int SIZE = 5;
@@ -117,11 +117,11 @@
                     return;
                 }
             } catch (IOException e) {
-                // It is not up yet.
+                // The instance is not up yet.
             }
             Thread.sleep(50);
         }
-        throw new AssertionError(name(i) + " came to hold " + last + "\n" + instances[i].logText());
+        throw new AssertionError(name(i) + " last reported " + last + "\n" + instances[i].logText());
     }
 
     private void awaitStateSeenByAll(int subject, State state, int... excluded) throws Exception {
@@ -140,12 +140,12 @@
         instances[1] = start(1, ports[1]);
         awaitStateSeenByAll(1, State.ALIVE);
         for (int i = 0; i < SIZE; i++) {
-            await(i, members -> members.get(name(1)).compareTo(before) > 0 && !members.get(name(1))
-                    .isSameProcess(before));
+            await(i, members -> members.get(name(1)).compareTo(before) > 0
+                    && !members.get(name(1)).isSameProcess(before));
         }
     }
 
-    /** Its answers come late and not from another: it is told, speaks up, and holds nobody dead for its own sleep. */
+    /** Once resumed, it learns that it was declared dead and refutes it; its own pause must not make others dead. */
     public void pausedInstanceRefutesItsDeathAndDeclaresNobodyDead() throws Exception {
         instances[2].signal("STOP");
         awaitStateSeenByAll(2, State.DEAD, 2);
@@ -155,7 +155,7 @@
         assertFalse(instances[2].logText().contains("is DEAD"), instances[2].logText());
     }
 
-    /** Two that don't hear each other are heard by the others, whatever one of them makes of it. */
+    /** Indirect probes of the other instances keep both of them alive. */
     public void cutLinkBetweenTwoInstancesMakesNobodyDead() throws Exception {
         for (int[] pair : new int[][] {{0, 1}, {1, 0}}) {
             links[pair[0]][pair[1]].dropsToTarget = true;
@@ -189,7 +189,7 @@
         }
     }
 
-    /** The one that had the name goes in its order; whoever comes later has it. */
+    /** The first process shuts down in order with exit code 0; the later one keeps the name. */
     public void laterProcessWithSameNameReplacesTheFirst() throws Exception {
         MemberInfo before = queryMembers(0).get(name(3));
         ports[3] = Ports.findFree();
