--- a/lab/src/main/java/vetchrill/peersim/HeartbeatDetector.java
+++ b/lab/src/main/java/vetchrill/peersim/HeartbeatDetector.java
@@ -5,13 +5,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import vetchrill.members.SwimMembership;
 import vetchrill.members.MemberInfo;
 import vetchrill.members.MemberInfo.State;
 import vetchrill.members.MembershipConfig;
 import vetchrill.members.MembershipMessage;
+import vetchrill.members.SwimMembership;
 
-/** What membership is held against: everybody tells everybody each period, and who is silent for eight is dead. */
+/**
+ * The plain failure detector that {@link SwimMembership} is compared with: each instance sends a heartbeat to every
+ * other one each period, and declares dead whoever was silent for eight periods.
+ */
 final class HeartbeatDetector implements MembershipSimulation.FailureDetector {
     private static final int DEAD_AFTER_PERIODS = 8;
 
@@ -41,11 +44,10 @@
             heartbeatsToSend.addAll(others);
         }
         for (MemberInfo each : List.copyOf(members.values())) {
-            if (each.state() == State.ALIVE && now - receivedAt.get(each.name()) > DEAD_AFTER_PERIODS
-                    * config.probePeriod()) {
+            if (each.state() == State.ALIVE
+                    && now - receivedAt.get(each.name()) > DEAD_AFTER_PERIODS * config.probePeriod()) {
                 recordChange(new MemberInfo(each.name(), "", each.incarnation(), each.nonce(), each.refutations(),
-                        State.DEAD,
-                        self.name()));
+                        State.DEAD, self.name()));
             }
         }
     }
--- a/lab/src/main/java/vetchrill/peersim/MembershipSimulation.java
+++ b/lab/src/main/java/vetchrill/peersim/MembershipSimulation.java
@@ -5,21 +5,20 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import vetchrill.members.SwimMembership;
 import vetchrill.members.MemberInfo;
 import vetchrill.members.MemberInfo.State;
 import vetchrill.members.MembershipConfig;
 import vetchrill.members.MembershipMessage;
+import vetchrill.members.SwimMembership;
 import vetchrill.peers.MembershipMessageCodec;
 
 /**
- * A fleet of instances that hear each other, on a clock that is only counted: the text of {@link SwimMembership}
- * itself, or
- * the plain heartbeats that it is held against, over a network that loses, delays, doubles and is cut one way, with
- * processes that stop, stand still and come back. All is drawn from one seed.
+ * Simulates the membership of a fleet on a virtual clock. The instances run {@link SwimMembership} itself, or the plain
+ * heartbeats that it is compared with, over a faulty network; processes crash, pause, leave and restart. All random
+ * choices are drawn from one seed.
  */
 public final class MembershipSimulation extends NetworkSimulation {
-    /** What an instance holds its peers by. */
+    /** The protocol by which an instance detects failures of its peers. */
     interface FailureDetector {
         void advanceTime(long now);
 
@@ -30,7 +29,7 @@
         long wakeAt();
     }
 
-    /** One process: a name may have had several, and two at once. */
+    /** One process; a name may have had several, and may have two at once. */
     public final class Process {
         public final String name;
         final int index;
@@ -39,6 +38,7 @@
         public final SwimMembership membership;
         boolean up = true;
         boolean left;
+        /** It learned that a later process has its name, and acts no more. */
         boolean replaced;
         private long replacedBy;
         long pausedUntil;
@@ -84,17 +84,24 @@
         }
     }
 
+    private static final int MAX_STEPS_PER_RUN = 100_000;
+    /** A process that leaves runs on for this time, so that it can announce it. */
+    private static final int LEAVE_PERIODS = 4;
+    /** Suspicions and deaths reported within this time after a pause do not count as false. */
+    private static final int PAUSE_GRACE_PERIODS = 4;
+
     private final MembershipConfig config;
     private final boolean usesHeartbeats;
     private final List<String> names = new ArrayList<>();
-    /** The processes of each place, the last one last. */
+    /** The processes of each name, in the order in which they started. */
     public final List<List<Process>> processesByIndex = new ArrayList<>();
     private long lastNonce;
     public long bytesSent;
-    /** Held dead by somebody though it was up and had not stood still of late. */
+    /** Reports of death of a process that was up and had not been paused of late. */
     public int falseDeaths;
+    /** Reports of suspicion of such a process. */
     public int falseSuspicions;
-    /** For each process that went, when each of those that live came to hold it dead, after so long. */
+    /** For each process that stopped, how long after it each of the others declared it dead. */
     public final List<Long> detectionTimes = new ArrayList<>();
     private final Map<Process, Long> stoppedAt = new HashMap<>();
 
@@ -115,9 +122,9 @@
         return String.format("r%04d", index);
     }
 
-    // What goes wrong.
+    // Faults.
 
-    /** A process under that name, beside or after those that it has; it knows of no earlier life unless told. */
+    /** Starts a process under that name, beside or after those that it has, with no knowledge of earlier ones. */
     public Process start(int index, long incarnation) {
         Process process = new Process(index, incarnation);
         processesByIndex.get(index).add(process);
@@ -126,7 +133,7 @@
         return process;
     }
 
-    /** The one that has the name: the latest that has not given way, or the latest where none is left. */
+    /** The process that holds the name: the latest that is up and not replaced, else the latest of all. */
     public Process currentProcess(int index) {
         List<Process> processes = processesByIndex.get(index);
         for (int i = processes.size() - 1; i >= 0; i--) {
@@ -157,7 +164,7 @@
             process.left = true;
             process.membership.leave();
             run(process);
-            schedule(now() + 4 * config.probePeriod(), () -> process.up = false);
+            schedule(now() + LEAVE_PERIODS * config.probePeriod(), () -> process.up = false);
         }
         markFault();
     }
@@ -169,15 +176,15 @@
         markFault();
     }
 
-    // The network and the owners.
+    // Message delivery, and the owner's part of each process.
 
     private void send(Process from, String to, long nonce, MembershipMessage message) {
         bytesSent += MembershipMessageCodec.encode(message).length;
         int index = names.indexOf(to);
         if (index < 0) {
-            throw new InvariantViolation("a word goes to a name that nobody has");
+            throw new InvariantViolation("a message is sent to a name that does not exist");
         }
-        // Of two under one name the later one stands at the address in the file; an answer finds either.
+        // Of two processes under one name the later one has the configured address; a reply reaches either by nonce.
         Process target = currentProcess(index);
         for (Process each : processesByIndex.get(index)) {
             target = nonce != 0 && each.nonce == nonce ? each : target;
@@ -221,8 +228,8 @@
         };
         int steps = 0;
         while (process.detector.processNext(host)) {
-            if (++steps > 100_000) {
-                throw new InvariantViolation("an instance never comes to an end of what it does");
+            if (++steps > MAX_STEPS_PER_RUN) {
+                throw new InvariantViolation("an instance performs actions without end");
             }
         }
         long wakeup = ++process.wakeupNumber;
@@ -240,16 +247,17 @@
         if (before != null && (member.incarnation() < before.incarnation()
                 || member.incarnation() == before.incarnation() && member.nonce() < before.nonce()
                 || member.isSameProcess(before) && member.refutations() < before.refutations())) {
-            throw new InvariantViolation("what is held of a name goes back");
+            throw new InvariantViolation("the reported state of a member goes back");
         }
         Process subject = null;
         for (Process each : processesByIndex.get(names.indexOf(member.name()))) {
             subject = each.nonce == member.nonce() ? each : subject;
         }
         if (subject == null) {
-            throw new InvariantViolation("a life is held that nobody lived");
+            throw new InvariantViolation("a process is reported that never existed");
         }
-        boolean healthy = subject.isActive() && !subject.left && now() > subject.pausedUntil + 4 * config.probePeriod();
+        boolean healthy = subject.isActive() && !subject.left
+                && now() > subject.pausedUntil + PAUSE_GRACE_PERIODS * config.probePeriod();
         if (member.state() == State.DEAD && subject.up && healthy) {
             falseDeaths++;
         } else if (member.state() == State.SUSPECTED && subject.up && healthy) {
@@ -259,9 +267,9 @@
         }
     }
 
-    // What must hold.
+    // Invariants.
 
-    /** Long enough after the last fault, all that live hold the same and what is so. */
+    /** Long enough after the last fault, all active instances must agree on the members and be right about them. */
     public void checkConverged() {
         for (List<Process> processes : processesByIndex) {
             int up = 0;
@@ -271,11 +279,11 @@
                 active += each.isActive() ? 1 : 0;
             }
             if (active > 1) {
-                throw new InvariantViolation("two processes act under one name");
+                throw new InvariantViolation("two processes are active under one name");
             }
             if (up > 0 && active == 0 && processes.stream().noneMatch(each -> each.up && processes.stream()
                     .anyMatch(other -> other.nonce == each.replacedBy && !other.up))) {
-                throw new InvariantViolation("all processes of a name have given way to one another");
+                throw new InvariantViolation("all processes of a name consider themselves replaced");
             }
         }
         for (int i = 0; i < processesByIndex.size(); i++) {
@@ -287,20 +295,21 @@
                 Process subject = currentProcess(names.indexOf(member.name()));
                 if (subject.isActive() && !subject.left) {
                     if (member.state() != State.ALIVE) {
-                        throw new InvariantViolation("one that lives is not held alive");
+                        throw new InvariantViolation("an active instance is not seen as alive");
                     }
-                    if (member.nonce() != subject.nonce || member.incarnation() != subject.membership.self()
-                            .incarnation()) {
-                        throw new InvariantViolation("another life is held of one that lives");
+                    if (member.nonce() != subject.nonce
+                            || member.incarnation() != subject.membership.self().incarnation()) {
+                        throw new InvariantViolation("an active instance is seen with the nonce or"
+                                + " incarnation of another process");
                     }
                 } else if (member.state() == State.ALIVE || member.state() == State.SUSPECTED) {
-                    throw new InvariantViolation("one that is gone is held alive");
+                    throw new InvariantViolation("an instance that is gone is seen as alive or suspected");
                 }
             }
         }
     }
 
-    /** When the last fault is over for everybody: syncs with those that are held dead, and a verdict on each. */
+    /** The time by which all must have converged: long enough for syncs with members declared dead, and suspicions. */
     public long convergenceDeadline() {
         return lastFaultAt + 40 * config.syncPeriod();
     }
--- a/lab/src/main/java/vetchrill/peersim/NetworkSimulation.java
+++ b/lab/src/main/java/vetchrill/peersim/NetworkSimulation.java
@@ -6,9 +6,12 @@
 import vetchrill.model.Event;
 import vetchrill.model.HeapEventQueue;
 
-/** A counted clock, and a network between places that loses, delays, doubles and is cut one way; from one seed. */
+/**
+ * A virtual clock, and a network between the instances of a fleet that loses, delays and duplicates messages and whose
+ * links can be cut in one direction. All random choices are drawn from one seed. Times are tenths of a millisecond.
+ */
 abstract class NetworkSimulation {
-    /** Something that must not be. */
+    /** A property that must always hold does not. */
     public static final class InvariantViolation extends RuntimeException {
         private static final long serialVersionUID = 1;
 
@@ -31,6 +34,7 @@
         random = new SplittableRandom(seed);
     }
 
+    /** The time of the virtual clock. */
     public final long now() {
         return events.now();
     }
@@ -44,6 +48,7 @@
         });
     }
 
+    /** Runs all events up to that time. */
     public final void advanceTo(long time) {
         boolean[] reached = {false};
         schedule(time, () -> reached[0] = true);
@@ -53,6 +58,7 @@
         }
     }
 
+    /** Cuts or restores the link in that direction. */
     public final void setLinkCut(int from, int to, boolean cut) {
         if (cut) {
             cutLinks.add((long) from << 32 | to);
@@ -62,7 +68,7 @@
         markFault();
     }
 
-    /** Two parts, by the bits of each place's number, that hear each other no more. */
+    /** Cuts all links between two sides: bit {@code i % 8} of {@code sides} is the side of the instance {@code i}. */
     public final void partition(int size, int sides) {
         for (int i = 0; i < size; i++) {
             for (int j = 0; j < size; j++) {
@@ -71,6 +77,7 @@
         }
     }
 
+    /** Ends all faults. */
     public void heal() {
         cutLinks.clear();
         lossRatio = 0;
@@ -79,11 +86,12 @@
         markFault();
     }
 
+    /** Notes that a fault began or ended now, or that an order was given: the fleet needs time to converge again. */
     final void markFault() {
         lastFaultAt = now();
     }
 
-    /** Something goes from one place to another: it comes, comes late, twice or not at all. */
+    /** Sends something over a link: it is delivered after a random delay, possibly twice or not at all. */
     final void transmit(int from, int to, Runnable delivery) {
         int copies = duplicateRatio > 0 && random.nextDouble() < duplicateRatio ? 2 : 1;
         for (int i = 0; i < copies; i++) {
--- a/lab/src/main/java/vetchrill/peersim/VersionsPathExplorer.java
+++ b/lab/src/main/java/vetchrill/peersim/VersionsPathExplorer.java
@@ -7,13 +7,19 @@
 import vetchrill.versions.Version.Stage;
 
 /**
- * Three instances that keep a floor, two versions, one floor: every order of what can happen to them, to a depth. After
- * each step all that {@link VersionsSimulation} checks must hold, and at the end, with all healed, all know the same.
+ * Exhaustive exploration of a fleet of three voters, one published version and its minimum version: runs every sequence
+ * of a number of steps. All invariants of {@link VersionsSimulation} must hold throughout, and at the end, with all
+ * faults healed, the fleet must converge.
  */
 public final class VersionsPathExplorer {
-    /** What can happen. Those that can be undone are undone where they come again. */
-    public enum Step { KILL0, KILL1, LOSE_DISK1, PAUSE2, PARTITION0, PARTITION1, PARTITION2, CUT_OUTGOING1, PUBLISH0,
-            MIN_VERSION0, MIN_VERSION2, FILL_DISK1, WAIT_LEASE }
+    /**
+     * The possible steps; the digit is the index of the instance. The second of two equal kill, partition, cut or fill
+     * steps ends what the first has begun.
+     */
+    public enum Step {
+        KILL0, KILL1, LOSE_DISK1, PAUSE2, PARTITION0, PARTITION1, PARTITION2, CUT_OUTGOING1, PUBLISH0, MIN_VERSION0,
+        MIN_VERSION2, FILL_DISK1, WAIT_LEASE
+    }
 
     private static final Step[] STEPS = Step.values();
     private static final long LEASE_TENTHS_MS = 10_000;
@@ -22,16 +28,20 @@
 
     private final Set<String> reachedStates = ConcurrentHashMap.newKeySet();
 
+    /** The number of paths of that many steps. */
     public static long pathCount(int depth) {
         return Math.round(Math.pow(STEPS.length, depth));
     }
 
-    /** Of the three: what each holds, has promised, decides by, and whether it may. */
+    /**
+     * The number of different states of the fleet that the paths so far went through: of each instance its versions,
+     * its promises and whether it is fenced.
+     */
     public int stateCount() {
         return reachedStates.size();
     }
 
-    /** Of all orders of so many steps, the one with that number. */
+    /** Of all sequences of {@code depth} steps, the one with that number. */
     public static <T> T[] path(T[] steps, int depth, long number) {
         T[] path = Arrays.copyOf(steps, depth);
         long remaining = number;
@@ -42,7 +52,7 @@
         return path;
     }
 
-    /** One path by its number; throws Broken that names its steps. */
+    /** Runs one path by its number; throws an InvariantViolation that names its steps. */
     public void runPath(int depth, long number) {
         Step[] path = path(STEPS, depth, number);
         try {
--- a/lab/src/main/java/vetchrill/peersim/VersionsSimulation.java
+++ b/lab/src/main/java/vetchrill/peersim/VersionsSimulation.java
@@ -9,28 +9,28 @@
 import java.util.Map;
 import java.util.TreeMap;
 import vetchrill.peers.InstanceStore;
-import vetchrill.powerloss.PowerLossDisk;
 import vetchrill.powerloss.MemoryMedia;
+import vetchrill.powerloss.PowerLossDisk;
 import vetchrill.store.DurableStore;
 import vetchrill.versions.Digests;
 import vetchrill.versions.DurableState;
-import vetchrill.versions.VersionMessage;
-import vetchrill.versions.VersionsConfig;
 import vetchrill.versions.Version;
 import vetchrill.versions.VersionManager;
+import vetchrill.versions.VersionMessage;
+import vetchrill.versions.VersionsConfig;
 
 /**
- * A fleet that agrees on versions, on a counted clock: the text of {@link VersionManager} itself, over a network and
- * disks
- * that go wrong. What must hold is checked after each step by what this class sees from outside: when a floor was first
- * confirmed to anybody, until when each process may begin what, and what each took in which order.
+ * Simulates the agreement on versions of a fleet on a virtual clock. The instances run {@link VersionManager} itself,
+ * over a network and disks with faults. The invariants are checked after each step from outside: against when a minimum
+ * version was first confirmed to any instance, the leases of each process, and the versions that each activated in
+ * which order. Times are tenths of a millisecond.
  */
 public final class VersionsSimulation extends NetworkSimulation {
-    /** A version and its content, as somebody published it. */
+    /** A published version with its content. */
     private record Publication(Version version, byte[] content, Process publisher) {
     }
 
-    /** One process, and what it may begin by its own word. */
+    /** One process, with its active version and its lease as it reported them. */
     public final class Process {
         final int index;
         final long nonce = ++lastNonce;
@@ -43,7 +43,7 @@
         long activeVersion;
         long minVersion;
         long leaseUntil = Long.MIN_VALUE;
-        /** A version that it knows to be a fork may not be taken any more. */
+        /** Versions that it knows to be forks: it must not activate them any more. */
         private final List<Long> knownForks = new ArrayList<>();
 
         Process(int index) {
@@ -58,10 +58,14 @@
         }
     }
 
+    /** The program of all instances but every seventh. */
     public static final String PROGRAM_DIGEST = "a".repeat(64);
+    /** The program of every seventh instance. */
     private static final String OTHER_PROGRAM_DIGEST = "b".repeat(64);
     private static final int MAX_STEPS_PER_RUN = 100_000;
     private static final long STORE_CAPACITY_BYTES = 1 << 20;
+    /** See {@link PowerLossDisk}. */
+    private static final double SPILL_RATIO = 0.3;
 
     private final int instanceCount;
     private final int voterCount;
@@ -69,47 +73,52 @@
     private final long leaseDuration;
     private final long gossipPeriod;
     private final DurableState[] persistedStates;
-    /** What each place has of media where stores are played as they are, else null; and the store of its process. */
+    /** By instance, the media of its real store; null if real stores are not simulated. */
     private final MemoryMedia[] media;
     private final PowerLossDisk[] powerLossDisks;
     private final DurableStore[] stores;
     private final byte[][] storedContent;
-    /** What was told to be on the disk of that place, by which its memory must not be lower as it returns. */
+    /** By instance, the last state whose write was acknowledged: it must not recover with an older one. */
     private final DurableState[] acknowledged;
-    /** The disk of that place is not what it was: what it holds is no promise. */
+    /** The media of the instance were altered since its last write, so the recovered state may be older. */
     private final boolean[] mediaAltered;
+    /** An alteration of the media that the instance has not detected yet. */
     private final boolean[] detectionPending;
+    /** The pending alteration put the disk so far back that it must be detected. */
     private final boolean[] detectionRequired;
-    /** Write points until the power of all goes; 0 for never. */
+    /** Write points until all instances lose power; 0 for never. */
     private long writePointsToPowerLoss;
     public int powerLosses;
     public int alterationCount;
     public int detectedAlterations;
     private final boolean[] diskFull;
     private final long[] writeDelay;
-    /** Of a name that was not dead as another process came up under it: the one before, with its own disk. */
+    /** By instance, the earlier process, with its own disk, that goes on while a later one runs under its name. */
     private final Process[] replacedTwins;
+    /** By instance, the mask given to {@link #startTwin}. */
     private final int[] twinSides;
+    /** Fraction of content chunks that are corrupted on the network. */
     public double corruptionRatio;
-    /** Lost or went back, and not whole again since. */
+    /** The voter's state was lost or went back, and is not intact again since. */
     private final boolean[] lostState;
     public final Process[] processes;
     private final Map<Long, List<Publication>> published = new TreeMap<>();
-    /** When a floor was first held to be confirmed by anybody. */
+    /** By minimum version, when an instance first knew it to be confirmed. */
     private final TreeMap<Long, Long> confirmedAt = new TreeMap<>();
     private long highestConfirmed;
     private long lastNonce;
     public long messagesSent;
     public long bytesSent;
     public long steps;
-    /** For each version, when each process took it after it was published. */
+    /** For each version, how long after its publication each process activated it. */
     public final Map<Long, List<Long>> activationDelays = new HashMap<>();
     private final Map<Long, Long> publishedAt = new HashMap<>();
+    /** All events that the instances reported, as text. */
     public final List<String> reports = new ArrayList<>();
-    /** How exchanges fare in each place by the version taken; null where nothing is counted. */
+    /** The outcomes of exchanges that each instance reports; null if none are simulated. */
     public ExchangeCounters exchangeCounters;
 
-    /** Exchanges that a place has decided since its start by now, and of these denied, failed and broken off. */
+    /** The exchanges that an instance has decided by then, and how many of them were denied, failed and aborted. */
     public interface ExchangeCounters {
         long[] countersAt(int index, long activeVersion, long now);
     }
@@ -119,7 +128,10 @@
         this(instanceCount, voterCount, zoneCount, leaseDuration, gossipPeriod, seed, false);
     }
 
-    /** {@code stores}: each place has the real store on media of its own, whose power can go at each write point. */
+    /**
+     * With {@code realStores} each instance has a {@link DurableStore} on media of its own, and may lose power at each
+     * write point; else its state is written as a whole.
+     */
     public VersionsSimulation(int instanceCount, int voterCount, int zoneCount, long leaseDuration, long gossipPeriod,
             long seed, boolean realStores) {
         super(seed);
@@ -152,15 +164,15 @@
         }
     }
 
-    /** The power is gone: nothing of what was at hand goes on. */
+    /** Ends a write of the instance at whose write point the power is lost. */
     private static final class PowerLost extends RuntimeException {
         private static final long serialVersionUID = 1;
     }
 
-    /** What the store of that place holds as its process starts. */
+    /** Opens the store of that instance as its process starts, and recovers its state. */
     private DurableState openStore(int index) {
         try {
-            powerLossDisks[index] = new PowerLossDisk(media[index], random.split(), 0.3, call -> {
+            powerLossDisks[index] = new PowerLossDisk(media[index], random.split(), SPILL_RATIO, call -> {
                 if (diskFull[index]) {
                     throw new IOException("No space left on device");
                 }
@@ -180,7 +192,7 @@
         }
     }
 
-    /** Nothing that binds goes back on a disk that is what it was. */
+    /** On media that were not altered, the recovered state must not be older than the acknowledged one. */
     private void checkRecoveredState(int index, DurableState state) {
         DurableState acknowledgedState = acknowledged[index];
         boolean rejected = stores[index].outcome().compareTo(DurableStore.RecoveryOutcome.TORN) > 0;
@@ -189,7 +201,8 @@
             return;
         }
         if (rejected) {
-            throw new InvariantViolation("a store that is whole is held to be " + stores[index].outcome() + ": "
+            throw new InvariantViolation("the media were not altered, but recovery found "
+                    + stores[index].outcome() + ": "
                     + stores[index].problem());
         }
         if (acknowledgedState != null
@@ -199,8 +212,8 @@
                 || activeNumber(state) < activeNumber(acknowledgedState) || acknowledgedState.intact()
                 && !state.intact()
                 && state.revision() == acknowledgedState.revision())) {
-            throw new InvariantViolation(name(index) + " was told that " + acknowledgedState + " is kept, and has "
-                    + state);
+            throw new InvariantViolation(name(index) + " acknowledged the write of " + acknowledgedState
+                    + ", but recovered " + state);
         }
     }
 
@@ -215,12 +228,12 @@
         return state.activeVersion() == null ? 0 : state.activeVersion().number();
     }
 
-    /** Throws IOException where it can't be kept. */
+    /** Writes the state to the store; throws IOException if that fails. */
     private void commit(int index, DurableState state) throws IOException {
         DurableState before = acknowledged[index];
         if (before != null && state.revision() <= before.revision() && (state.minVersion() > before.minVersion()
                 || state.incarnation() > before.incarnation() || activeNumber(state) > activeNumber(before))) {
-            throw new InvariantViolation(name(index) + " keeps what binds under the count of before");
+            throw new InvariantViolation(name(index) + " writes a changed state without a higher revision");
         }
         stores[index].commit(InstanceStore.changesFor(state, storedContent[index]), true);
         mediaAltered[index] = false;
@@ -228,7 +241,7 @@
         acknowledged[index] = state;
     }
 
-    /** The power of all of them goes now, or at a later write point of any of their stores. */
+    /** All instances lose power: at once if {@code writePoints} is 0, else at that write point of any store. */
     public void losePowerOfAll(long writePoints) {
         writePointsToPowerLoss = writePoints;
         if (writePoints == 0) {
@@ -241,7 +254,7 @@
         }
     }
 
-    /** All that are down come back, each up to so much later than the one before. */
+    /** Restarts all that are down, each up to {@code maxStagger} after the one before. */
     public void restartAll(long maxStagger) {
         long startAt = now();
         for (int i = 0; i < instanceCount; i++) {
@@ -252,17 +265,20 @@
         markFault();
     }
 
-    /** As the media of that place are now, to be put back on a later day. */
+    /** A copy of the media of that instance, for a later {@link #replaceMedia}. */
     public MemoryMedia copyMedia(int index) {
         return new MemoryMedia(media[index]);
     }
 
-    /** It comes back with media of an earlier day, or another's; false where more would be in doubt than may be. */
+    /**
+     * Restarts the instance with media of an earlier time or of another instance. False, with no change, if the other
+     * voters do not know its revision, or if more voters would have lost their state then than the protocol tolerates.
+     */
     public boolean replaceMedia(int index, MemoryMedia replacement) {
         return alterMedia(index, () -> media[index] = replacement);
     }
 
-    /** It comes back with an octet changed, or with the end cut off at a commit or within one. */
+    /** Restarts the instance with a byte of a file changed or a file truncated; false likewise, or without files. */
     public boolean damageMedia(int index, boolean truncate, int selector) {
         if (media[index].fileNames().isEmpty()) {
             return false;
@@ -281,7 +297,7 @@
         });
     }
 
-    /** All other keepers have on their disks how far that one has come: else an older disk is not promised to show. */
+    /** Whether all other voters have this one's revision on disk: without that an older disk may go undetected. */
     private boolean isRevisionKnownToVoters(int index) {
         long revision = acknowledged[index] == null ? 0 : acknowledged[index].revision();
         for (int i = 0; i < voterCount; i++) {
@@ -293,7 +309,7 @@
         return true;
     }
 
-    /** Noted as one that forgets, unless more than half of the keepers would not remember then. */
+    /** Marks the state of a voter as lost; false, with no change, if no majority would remember its promises then. */
     private boolean tryMarkLostState(int index) {
         if (index < voterCount) {
             int lost = 1;
@@ -322,7 +338,8 @@
         detectionPending[index] = true;
         acknowledged[index] = null;
         start(index);
-        // Its start and its being taught bring it on by some, which must not hide that it was behind.
+        // The restart and the recovery from its peers raise the revision by a few, which can hide a small gap: only a
+        // disk that is more than 3 behind must be detected.
         long revisionAfter = acknowledged[index] == null ? 0 : acknowledged[index].revision();
         detectionRequired[index] = index < voterCount && revisionAfter + 3 < revision && revisionAfter > 0;
         return true;
@@ -350,7 +367,7 @@
         return new VersionsConfig(others, voters, leaseDuration, gossipPeriod, 20 * gossipPeriod, false);
     }
 
-    // What goes wrong, and what is ordered.
+    // Faults and orders.
 
     public void start(int index) {
         if (processes[index] == null || !processes[index].up) {
@@ -374,8 +391,8 @@
     }
 
     /**
-     * It comes back without its disk. A keeper only while more than half of them remember all that they promised: past
-     * that nothing is promised.
+     * Restarts the instance with the given state in place of its disk's, or with none. False if it is a voter and no
+     * majority of the voters would remember its promises then, a case in which the protocol guarantees nothing.
      */
     public boolean loseDisk(int index, DurableState replacement) {
         if (!tryMarkLostState(index)) {
@@ -392,8 +409,8 @@
     }
 
     /**
-     * A second process, without a disk, beside one that lives on. Each other place has a way to one of the two only, by
-     * its bit.
+     * Starts a second process, without a disk, under the name of one that goes on. Each other instance reaches only one
+     * of the two: the second if the bit of its index in {@code sides} is set.
      */
     public boolean startTwin(int index, int sides) {
         Process before = processes[index];
@@ -409,7 +426,7 @@
         return true;
     }
 
-    /** Each write to that disk takes up to so much longer. */
+    /** Each write to that disk takes up to {@code maxDelay} longer. */
     public void delayWrites(int index, long maxDelay) {
         writeDelay[index] = maxDelay;
         markFault();
@@ -451,7 +468,10 @@
         }
     }
 
-    /** Null where it was taken. A content whose first octet is a place's number, from 1 on, is refused there. */
+    /**
+     * Publishes a version at that instance; null if it was accepted, else the reason. Content is rejected by the
+     * instance whose index plus 1 is its first byte.
+     */
     public String publish(int index, long number, byte[] content, String programDigest, List<Version.Stage> stages,
             long stageInterval) {
         Process process = processes[index];
@@ -494,7 +514,7 @@
         return problem;
     }
 
-    // Owners.
+    // The owner's part of each process.
 
     private void run(Process process) {
         if (!process.up || now() < process.pausedUntil || process.running) {
@@ -513,7 +533,7 @@
         while (process.manager.processNext(host(process))) {
             steps++;
             if (++stepsOfRun > MAX_STEPS_PER_RUN) {
-                throw new InvariantViolation("an instance never comes to an end of what it does");
+                throw new InvariantViolation("an instance performs actions without end");
             }
         }
         process.running = false;
@@ -532,11 +552,11 @@
             public void send(String to, VersionMessage message) {
                 int index = Integer.parseInt(to.substring(1));
                 if (index == process.index || index >= instanceCount) {
-                    throw new InvariantViolation("a word goes to a name that nobody else has");
+                    throw new InvariantViolation("a message is sent to a name that no other instance has");
                 }
                 if (media != null && message.status().revision() > (acknowledged[process.index] == null ? 0
                         : acknowledged[process.index].revision())) {
-                    throw new InvariantViolation(name(process.index) + " tells of a memory that is not on its disk");
+                    throw new InvariantViolation(name(process.index) + " reports a revision that is not on its disk");
                 }
                 messagesSent++;
                 bytesSent += estimatedBytes(message);
@@ -563,7 +583,7 @@
                         persistToStore(process, state);
                         return;
                     }
-                    // A process that was killed meanwhile may have brought it to the disk or not.
+                    // The write of a process that was killed meanwhile may have reached the disk or not.
                     if (processes[process.index] != process || !process.up && random.nextBoolean()) {
                         return;
                     }
@@ -581,7 +601,7 @@
             @Override
             public void validate(Version version, byte[] content) {
                 if (!Digests.of(content).equals(version.digest())) {
-                    throw new InvariantViolation("a content is tried that is not what was published");
+                    throw new InvariantViolation("content is validated that does not have the digest of its version");
                 }
                 schedule(now() + 1, () -> {
                     process.manager.onValidated(version.number(), content.length > 0 && content[0] == process.index + 1
@@ -601,7 +621,7 @@
                 process.leaseUntil = leaseUntil;
                 if (activeVersion != process.activeVersion) {
                     throw new InvariantViolation("a lease for version " + activeVersion + " while "
-                            + process.activeVersion + " decides");
+                            + process.activeVersion + " is active");
                 }
                 checkLease(process);
             }
@@ -637,14 +657,14 @@
         run(process);
     }
 
-    /** The process that stands at that name for whoever speaks from there. */
+    /** The process under that name which the instance {@code from} reaches. */
     private Process reachableProcess(int from, int index) {
         return replacedTwins[index] != null && replacedTwins[index].up && (twinSides[index] >> from & 1) == 0
                 ? replacedTwins[index]
                 : processes[index];
     }
 
-    /** A way that changes octets: nothing that is kept by a digest may suffer from it. */
+    /** Flips a bit of some content chunks: contents are identified by digest, so none may be accepted corrupted. */
     private VersionMessage maybeCorrupt(VersionMessage message) {
         if (corruptionRatio == 0 || message.kind() != VersionMessage.Kind.PIECE || message.chunk().bytes().length == 0
                 || random.nextDouble() >= corruptionRatio) {
@@ -653,12 +673,11 @@
         byte[] corrupted = message.chunk().bytes().clone();
         corrupted[random.nextInt(corrupted.length)] ^= 1;
         return new VersionMessage(message.kind(), message.sender(), message.zone(), message.nonce(),
-                message.requestId(),
-                message.recipientRevision(), message.state(), message.status(),
+                message.requestId(), message.recipientRevision(), message.state(), message.status(),
                 new VersionMessage.Chunk(message.chunk().digest(), message.chunk().offset(), corrupted));
     }
 
-    /** As many octets as it has in CBOR, near enough for a sum. */
+    /** About the size of the message in CBOR. */
     private static long estimatedBytes(VersionMessage message) {
         return 90 + 130L * message.state().versions().size() + 14L * message.state().promises().size()
                 + (message.chunk() == null ? 0 : 70 + message.chunk().bytes().length);
@@ -666,28 +685,29 @@
 
     private void onActivated(Process process, Version version, byte[] content) {
         if (version.number() <= process.activeVersion) {
-            throw new InvariantViolation("version " + version.number() + " is taken after " + process.activeVersion);
+            throw new InvariantViolation("version " + version.number() + " is activated after "
+                    + process.activeVersion);
         }
         List<Publication> publications = published.getOrDefault(version.number(), List.of());
         if (publications.stream().noneMatch(each -> each.version.equals(version)
                 && Arrays.equals(each.content, content))) {
-            throw new InvariantViolation("a version is taken that nobody published");
+            throw new InvariantViolation("a version is activated that was not published");
         }
         if (content.length > 0 && content[0] == process.index + 1) {
-            throw new InvariantViolation("a version is taken that is refused here");
+            throw new InvariantViolation("a version is activated that this instance rejects");
         }
         if (!version.programDigest().isEmpty() && !version.programDigest()
                 .equals(process.index % 7 == 6 ? OTHER_PROGRAM_DIGEST : PROGRAM_DIGEST)) {
-            throw new InvariantViolation("a version is taken that is for another program");
+            throw new InvariantViolation("a version is activated that is for another program");
         }
         if (process.knownForks.contains(version.number())) {
-            throw new InvariantViolation("a version is taken that is known to be a fork");
+            throw new InvariantViolation("a version is activated that is known to be in conflict");
         }
         DurableState persisted = persistedStates[process.index];
-        boolean isPersisted = persisted != null && persisted.activeVersion() != null && persisted.activeVersion()
-                .equals(version);
+        boolean isPersisted = persisted != null && persisted.activeVersion() != null
+                && persisted.activeVersion().equals(version);
         if (replacedTwins[process.index] != process && !isPersisted) {
-            throw new InvariantViolation("a version is taken that is not on the disk");
+            throw new InvariantViolation("a version is activated that is not on the disk");
         }
         process.activeVersion = version.number();
         activationDelays.computeIfAbsent(version.number(), any -> new ArrayList<>())
@@ -695,7 +715,7 @@
         checkLease(process);
     }
 
-    // What must hold.
+    // Invariants.
 
     private void noteConfirmation(Process process) {
         long minVersion = process.manager.confirmedMinVersion();
@@ -715,26 +735,26 @@
         }
     }
 
-    /** Nothing is begun under a floor later than one lease after it was confirmed. */
+    /** One lease after a minimum version was confirmed, no exchange of a version below it may start any more. */
     private void checkLease(Process process) {
         for (Map.Entry<Long, Long> each : confirmedAt.entrySet()) {
             if (process.activeVersion < each.getKey() && process.minVersion <= process.activeVersion
                     && process.leaseUntil > each.getValue() + leaseDuration) {
-                throw new InvariantViolation("version " + process.activeVersion + " may be begun by until "
-                        + process.leaseUntil
-                        + ", the floor " + each.getKey() + " was confirmed at " + each.getValue());
+                throw new InvariantViolation("exchanges of version " + process.activeVersion + " may start until "
+                        + process.leaseUntil + ", the minimum version " + each.getKey() + " was confirmed at "
+                        + each.getValue());
             }
         }
     }
 
-    /** Whether the process of that place would begin an exchange now that is under the floor. */
+    /** Whether that instance would start an exchange of a version below {@code minVersion} now. */
     public boolean mayStartBelow(int index, long minVersion) {
         Process process = processes[index];
-        return process.up && now() >= process.pausedUntil && process.activeVersion < minVersion && process.minVersion
-                <= process.activeVersion && now() < process.leaseUntil;
+        return process.up && now() >= process.pausedUntil && process.activeVersion < minVersion
+                && process.minVersion <= process.activeVersion && now() < process.leaseUntil;
     }
 
-    /** Long enough after the last fault, all know the floor and have what they may have. */
+    /** Long enough after the last fault, all must know the minimum version and have activated what they can. */
     public void checkConverged() {
         long highest = 0;
         for (Process each : processes) {
@@ -742,13 +762,14 @@
         }
         for (Process each : processes) {
             if (each.manager.minVersion() != highest) {
-                throw new InvariantViolation(name(each.index) + " does not know of the floor " + highest);
+                throw new InvariantViolation(name(each.index) + " does not know the minimum version " + highest);
             }
             if (each.manager.confirmedMinVersion() != highest) {
-                throw new InvariantViolation("the floor " + highest + " is confirmed by nobody to " + name(each.index));
+                throw new InvariantViolation("the minimum version " + highest + " is not known as confirmed to "
+                        + name(each.index));
             }
             if (each.manager.leaseUntil() <= now()) {
-                throw new InvariantViolation(name(each.index) + " has no lease though all is well");
+                throw new InvariantViolation(name(each.index) + " has no lease though there is no fault");
             }
         }
         Map<Long, List<Object>> identities = new HashMap<>();
@@ -756,23 +777,24 @@
             for (VersionMessage.KnownVersion known : each.manager.versions()) {
                 List<Object> other = identities.putIfAbsent(known.version().number(), identity(known.version()));
                 if (other != null && !other.equals(identity(known.version())) && known.stopReason().isEmpty()) {
-                    throw new InvariantViolation("two versions are held under the number " + known.version().number());
+                    throw new InvariantViolation("two versions are known and not stopped under the number "
+                            + known.version().number());
                 }
             }
         }
         for (int i = 0; i < instanceCount; i++) {
             if (detectionPending[i] && detectionRequired[i]) {
-                throw new InvariantViolation(name(i) + " has a disk of an earlier day, and nobody says so");
+                throw new InvariantViolation(name(i) + " has an older disk, and no instance reports it");
             }
             long expected = expectedVersion(i, highest);
             if (processes[i].activeVersion < expected) {
-                throw new InvariantViolation(name(i) + " decides by " + processes[i].activeVersion + " and not by "
-                        + expected);
+                throw new InvariantViolation(name(i) + " has active version " + processes[i].activeVersion
+                        + ", expected " + expected);
             }
         }
     }
 
-    /** The highest that nothing speaks against there, and that somebody is left to have. */
+    /** The highest version that the instance must have activated: not stopped, accepted there, and obtainable. */
     private long expectedVersion(int index, long minVersion) {
         long expected = 0;
         long newest = 0;
@@ -792,7 +814,7 @@
                     || each.getValue().stream().anyMatch(publication -> publication.publisher == process));
             boolean rejected = first.content.length > 0 && first.content[0] == index + 1
                     || !first.version.programDigest().isEmpty() && !first.version.programDigest().equals(programDigest);
-            // Of two under one number the first may have gone with its publisher: nobody has to take the other.
+            // Of two versions under one number the first may be lost with its publisher: none needs to be activated.
             if (each.getValue().stream().map(publication -> identity(publication.version)).distinct().count() == 1
                     && !stopped && known && obtainable && !rejected && isFullRollout(first.version)) {
                 expected = number;
@@ -801,7 +823,7 @@
         return newest == 0 ? 0 : expected;
     }
 
-    /** Two that differ in any of it are two, though they have one number and one content. */
+    /** What makes a version the same as another: those that differ in any of it are in conflict under one number. */
     private static List<Object> identity(Version version) {
         return List.of(version.digest(), version.programDigest(), version.stages(), version.stageInterval());
     }
@@ -811,7 +833,7 @@
                 && version.stageInterval() == 0;
     }
 
-    /** When the last fault is over for everybody. */
+    /** The time by which all must have converged. */
     public long convergenceDeadline() {
         return lastFaultAt + 6 * leaseDuration + 60 * gossipPeriod;
     }
--- a/lab/src/test/java/vetchrill/peersim/VersionsSimulationTest.java
+++ b/lab/src/test/java/vetchrill/peersim/VersionsSimulationTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.Test;
 import vetchrill.versions.Version.Stage;
 
-/** Stories of a simulated fleet that agrees on versions. Times are tenths of a millisecond. */
+/** Agreement on versions in a simulated fleet. Times are tenths of a millisecond. */
 @Test
 public class VersionsSimulationTest {
     private static final long LEASE_TENTHS_MS = 20_000;
@@ -32,7 +32,7 @@
         return new byte[] {100, (byte) kind};
     }
 
-    /** It deafs itself within a lease, and comes up by itself once it is heard again. */
+    /** It is fenced within a lease, and activates the version by itself once the partition heals. */
     public void partitionedInstanceIsFencedAndCatchesUp() {
         VersionsSimulation simulation = simulation(6, 3, 1);
         simulation.partition(6, 1 << 5);
@@ -48,7 +48,7 @@
         assertFalse(simulation.processes[5].manager.isFenced());
     }
 
-    /** The only keeper has nobody to ask: it keeps the floor by itself, and all serve. */
+    /** A single voter is a majority: it confirms the minimum version alone, and all instances serve. */
     public void singleVoterServesAndConfirmsAlone() {
         VersionsSimulation simulation = simulation(3, 1, 9);
         for (VersionsSimulation.Process each : simulation.processes) {
@@ -61,7 +61,7 @@
         assertEquals(simulation.processes[2].manager.confirmedMinVersion(), 1);
     }
 
-    /** Fewer than half of the keepers confirm nothing, and an instance that hears only those goes on for no longer. */
+    /** An instance that reaches only a minority of the voters is fenced once its lease runs out. */
     public void minorityOfVotersConfirmsNothing() {
         VersionsSimulation simulation = simulation(6, 3, 2);
         simulation.publish(0, 1, content(1), "", ALL_AT_ONCE, 0);
@@ -75,7 +75,7 @@
         assertFalse(simulation.processes[3].manager.isFenced());
     }
 
-    /** The keeper that has promised comes back knowing nothing: it promises nothing before the others have told it. */
+    /** A voter that comes back without its disk must not vote before it has its promises back from the others. */
     public void voterWithoutItsDiskRecoversBeforeItVotes() {
         VersionsSimulation simulation = simulation(5, 3, 3);
         simulation.publish(0, 1, content(1), "", ALL_AT_ONCE, 0);
@@ -101,7 +101,7 @@
         simulation.heal();
         advance(simulation, 30_000);
         for (VersionsSimulation.Process each : simulation.processes) {
-            assertFalse(each.manager.versions().get(0).stopReason().isEmpty(), "not known to be a fork");
+            assertFalse(each.manager.versions().get(0).stopReason().isEmpty(), "the conflict is not detected");
         }
         assertNotNull(simulation.setMinVersion(0, 1));
         assertNull(simulation.publish(0, 2, content(3), "", ALL_AT_ONCE, 0));
@@ -111,7 +111,7 @@
         }
     }
 
-    /** One that refuses the content serves on by the old one, and is shut out by the floor, told why. */
+    /** It serves on by the old version and reports why; the minimum version fences it until a version it accepts. */
     public void instanceThatRejectsAVersionIsFencedByTheMinVersionOnly() {
         VersionsSimulation simulation = simulation(5, 3, 5);
         assertNull(simulation.publish(0, 1, new byte[] {4, 0}, "", ALL_AT_ONCE, 0));
@@ -128,7 +128,10 @@
         assertFalse(simulation.processes[3].manager.isFenced());
     }
 
-    /** A tenth of a zone first: whoever took it denies half of its exchanges, and the fleet stops it by itself. */
+    /**
+     * In the first stage, a fifth of each zone, the instances with the new version deny half of their exchanges: the
+     * fleet stops the rollout by itself.
+     */
     public void versionWithWorseOutcomesIsStoppedByTheFleet() {
         VersionsSimulation simulation = simulation(40, 3, 6);
         simulation.exchangeCounters = (index, activeVersion, now) -> {
@@ -143,7 +146,7 @@
             assertTrue(each.manager.versions().get(0).stopReason().startsWith("denied"),
                     each.manager.versions().toString());
         }
-        assertTrue(activated > 0 && activated < 20, activated + " took it");
+        assertTrue(activated > 0 && activated < 20, activated + " activated it");
         advance(simulation, 800_000);
         assertTrue(simulation.reports.stream().filter(each -> each.contains("TAKEN")).count() < 20);
     }
@@ -161,7 +164,7 @@
         }
     }
 
-    /** The publisher dies with its order half given: who heard of it tells the others. */
+    /** Its setter dies when only some have received it: they pass it on to the others. */
     public void minVersionSurvivesTheInstanceThatSetIt() {
         VersionsSimulation simulation = simulation(7, 5, 8);
         simulation.publish(6, 1, content(1), "", ALL_AT_ONCE, 0);
