--- a/lab/src/main/java/vetchrill/powerloss/FolderMedia.java
+++ b/lab/src/main/java/vetchrill/powerloss/FolderMedia.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import vetchrill.store.FolderDisk;
 
-/** The media of a real process: what stands in its folder outlives the process that is killed. */
+/** Media in a folder, for a real process: the files survive when the process is killed. */
 public final class FolderMedia implements Media {
     private final FolderDisk disk;
     private final Path folder;
 
-    /** {@code disk} is of that folder, and holds it for this process. */
+    /** {@code disk} has the folder open and locked for this process. */
     public FolderMedia(FolderDisk disk, Path folder) {
         this.disk = disk;
         this.folder = folder;
--- a/lab/src/main/java/vetchrill/powerloss/MemoryMedia.java
+++ b/lab/src/main/java/vetchrill/powerloss/MemoryMedia.java
@@ -6,14 +6,14 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** The media of a simulated machine, which can be copied as it stands. */
+/** Media in memory, for a simulated instance. */
 public final class MemoryMedia implements Media {
     private final TreeMap<String, byte[]> files = new TreeMap<>();
 
     public MemoryMedia() {
     }
 
-    /** The same files, to be changed apart. */
+    /** An independent copy of the files. */
     public MemoryMedia(MemoryMedia source) {
         source.files.forEach((name, bytes) -> files.put(name, bytes.clone()));
     }
@@ -58,12 +58,12 @@
         files.remove(name);
     }
 
-    /** Octets of all files. */
+    /** Size of all files together. */
     public long totalBytes() {
         return files.values().stream().mapToLong(each -> each.length).sum();
     }
 
-    /** One octet is changed, or all from there on are gone. */
+    /** Flips bits of the byte at the offset, or truncates the file there. */
     public void damage(String name, int offset, boolean truncate) {
         byte[] bytes = files.get(name);
         if (truncate) {
--- a/lab/src/main/java/vetchrill/powerloss/PowerLossDisk.java
+++ b/lab/src/main/java/vetchrill/powerloss/PowerLossDisk.java
@@ -10,40 +10,46 @@
 import vetchrill.store.Disk;
 
 /**
- * A disk that holds what is not synced in the process itself, so that it goes with the process as it does with the
- * power. Some of it may come to the media all the same, as a kernel writes when it likes: a part of a file's end, a
- * later part without the one before, a name without its file. Each call is a write point, at which something may
- * happen.
+ * A disk that keeps unsynced data in the memory of the process, so that it is lost with the process as in a power loss.
+ * Some of it may reach the media all the same, as a kernel writes back at any time: a part of a file's tail, a later
+ * part without the one before it, or a file name without the content. Each call that changes something passes write
+ * points, at which a test can inject a fault.
  */
 public final class PowerLossDisk implements Disk {
-    /** What happens at a write point, before the call; throws what the call is to throw. */
+    /**
+     * Called at each write point: before a create, write, sync, rename or delete, after a sync ("synced"), and before
+     * and after a directory sync ("names", "named"). An exception that it throws is thrown by the operation.
+     */
     public interface WritePointHook {
         void onWritePoint(String point) throws IOException;
     }
 
     private static final int PAGE_BYTES = 512;
 
+    /** A file as the process sees it, and how much of it is on the media. */
     private static final class FileState {
         byte[] bytes = new byte[0];
         int size;
-        /** So many octets were synced. */
+        /** How many of the bytes were synced. */
         int durableBytes;
-        /** The media have it under its name. */
+        /** The name of the file on the media; null if it is not there. */
         String durableName;
     }
 
+    /** A creation, renaming or deletion that is not on the media before the directory is synced. */
     private interface DirectoryChange {
         void applyTo(Media media) throws IOException;
     }
 
     private final Media media;
     private final SplittableRandom random;
-    /** Part of the calls at which some of what is not synced comes to the media. */
+    /** Fraction of writes and deletions after which some unsynced data reaches the media. */
     private final double spillRatio;
     private final WritePointHook hook;
     private final TreeMap<String, FileState> files = new TreeMap<>();
     private final List<DirectoryChange> unsyncedChanges = new ArrayList<>();
 
+    /** Starts with the files on the media, all of them synced. */
     public PowerLossDisk(Media media, SplittableRandom random, double spillRatio, WritePointHook hook)
             throws IOException {
         this.media = media;
@@ -90,7 +96,7 @@
                 try {
                     hook.onWritePoint("write");
                 } catch (IOException e) {
-                    // As a disk does that fills up: a part of it is there.
+                    // A disk that fills up has stored a part of the last write.
                     append(file, bytes, bytes.length / 2);
                     throw e;
                 }
@@ -113,7 +119,7 @@
 
             @Override
             public void close() {
-                // What is not synced by now may never be.
+                // Closing a file does not sync it.
             }
         };
     }
@@ -126,7 +132,7 @@
         file.size += size;
     }
 
-    /** Some pages of what is not synced, in any order, and the last of them torn. */
+    /** Writes some of the unsynced pages to the media, either a prefix of them or an arbitrary selection, some torn. */
     private void spillUnsynced(FileState file) throws IOException {
         if (file.durableName == null || file.size == file.durableBytes) {
             return;
@@ -176,7 +182,7 @@
             }
         });
         if (random.nextDouble() < spillRatio) {
-            // It may be gone before anything else that is not synced is there.
+            // The deletion may reach the media before other changes that are not synced.
             unsyncedChanges.get(unsyncedChanges.size() - 1).applyTo(media);
         }
     }
@@ -191,7 +197,7 @@
         hook.onWritePoint("named");
     }
 
-    /** The power goes: of what was not synced some may be there, in any mixture. The disk is of no use after it. */
+    /** Simulates a power loss: a random part of the unsynced data reaches the media. The disk is unusable after it. */
     public void losePower() throws IOException {
         for (DirectoryChange each : unsyncedChanges) {
             if (random.nextBoolean()) {
--- a/lab/src/test/java/vetchrill/powerloss/DurableStorePowerLossTest.java
+++ b/lab/src/test/java/vetchrill/powerloss/DurableStorePowerLossTest.java
@@ -15,7 +15,7 @@
 import vetchrill.store.Change;
 import vetchrill.store.DurableStore;
 
-/** Stories of a store whose power goes, at each of its write points in turn, and whose disk is not what it was. */
+/** The durable store under power loss at each of its write points in turn, on a failing disk and on altered media. */
 @Test
 public class DurableStorePowerLossTest {
     private static final class PowerLost extends RuntimeException {
@@ -25,7 +25,7 @@
     private static final long CAPACITY_BYTES = DurableStore.MIN_CAPACITY_BYTES;
     private static final PowerLossDisk.WritePointHook NO_FAULTS = call -> { };
 
-    /** What was acknowledged, and the commit in hand as the power went. */
+    /** The entries of all acknowledged commits, and those entries with the commit in progress applied. */
     private static final class ExpectedContent {
         private final TreeMap<String, String> acknowledged = new TreeMap<>();
         private TreeMap<String, String> withCommitInProgress = new TreeMap<>();
@@ -52,7 +52,6 @@
         return changes;
     }
 
-    /** So many commits on that disk, or as far as it goes. */
     private static void commitRandomChanges(DurableStore store, ExpectedContent expected, SplittableRandom random,
             int commits) throws IOException {
         for (int i = 0; i < commits; i++) {
@@ -78,7 +77,10 @@
         return entries;
     }
 
-    /** Whatever was told to be kept is there, and nothing else but the commit in hand, whole; the bound holds. */
+    /**
+     * After a power loss the store has every acknowledged commit and either all or nothing of the commit in progress;
+     * the files stay within the capacity.
+     */
     public void acknowledgedCommitsSurvivePowerLossAtAnyWritePoint() throws IOException {
         int losses = 0;
         for (int seed = 0; seed < 6; seed++) {
@@ -88,16 +90,17 @@
             for (int powerLossPoint = 1; powerLossPoint < 400; powerLossPoint++) {
                 int[] pointsLeft = {powerLossPoint};
                 PowerLossDisk disk = new PowerLossDisk(media, random.split(), 0.3, call -> {
-                    assertTrue(media.totalBytes() <= CAPACITY_BYTES, media.totalBytes() + " octets");
+                    assertTrue(media.totalBytes() <= CAPACITY_BYTES, media.totalBytes() + " bytes");
                     if (--pointsLeft[0] == 0) {
                         throw new PowerLost();
                     }
                 });
                 DurableStore store = new DurableStore(disk, "r1", CAPACITY_BYTES);
                 TreeMap<String, String> recovered = content(store);
-                assertTrue(recovered.equals(expected.acknowledged) || recovered.equals(expected.withCommitInProgress),
+                assertTrue(recovered.equals(expected.acknowledged)
+                        || recovered.equals(expected.withCommitInProgress),
                         "seed " + seed + " loss " + powerLossPoint + ": "
-                        + recovered.keySet() + " and not " + expected.acknowledged.keySet() + " " + store.problem());
+                        + recovered.keySet() + ", expected " + expected.acknowledged.keySet() + " " + store.problem());
                 assertTrue(store.outcome().compareTo(DurableStore.RecoveryOutcome.TORN) <= 0,
                         "seed " + seed + " loss " + powerLossPoint + ": "
                         + store.outcome() + " " + store.problem());
@@ -116,7 +119,7 @@
         assertTrue(losses > 1_000, losses + " losses");
     }
 
-    /** A disk that fails for a while: what it refused is not there, what came after is. */
+    /** Of a disk that fails now and then: a commit that failed leaves no trace, later ones succeed. */
     public void failedCommitsLeaveNoTrace() throws IOException {
         MemoryMedia media = new MemoryMedia();
         SplittableRandom random = new SplittableRandom(9);
@@ -136,12 +139,12 @@
             } catch (IOException e) {
                 failed++;
             }
-            assertTrue(media.totalBytes() <= CAPACITY_BYTES, media.totalBytes() + " octets, " + media.fileNames());
+            assertTrue(media.totalBytes() <= CAPACITY_BYTES, media.totalBytes() + " bytes, " + media.fileNames());
         }
-        assertTrue(failed > 300 && failed < 2_700, failed + " refused");
+        assertTrue(failed > 300 && failed < 2_700, failed + " failed");
         store.close();
         assertEquals(content(store), expected);
-        // One more is told to be there, so that what lay beside it no longer counts.
+        // After one more acknowledged commit, remains of failed ones on the media no longer count.
         for (boolean done = false; !done;) {
             try {
                 store.commit(List.of(new Change("last", new byte[] {'1'})), true);
@@ -170,7 +173,7 @@
         return new DurableStore(new PowerLossDisk(media, new SplittableRandom(2), 0, NO_FAULTS), owner, 1 << 20);
     }
 
-    /** Damage between commits that were made is no torn end, and what is left is put aside, not written over. */
+    /** Damage before the last commit is not taken for a torn tail; the damaged files are set aside, not overwritten. */
     public void damageInTheMiddleIsDistinguishedFromATornTail() throws IOException {
         MemoryMedia media = mediaWithCommits(50);
         String log = media.fileNames().stream().filter(each -> each.endsWith(".log")).reduce((a, b) -> b).orElseThrow();
@@ -188,7 +191,7 @@
         assertEquals(open(media, "r1").outcome(), DurableStore.RecoveryOutcome.WHOLE);
     }
 
-    /** A disk out of another machine holds nothing for this one, and nothing of it is lost. */
+    /** Files of an instance of another name yield no entries, and are kept. */
     public void filesOfAnotherOwnerAreSetAside() throws IOException {
         MemoryMedia media = mediaWithCommits(5);
         byte[] before = media.readFile(media.fileNames().get(0));
@@ -202,7 +205,7 @@
         assertEquals(reopened.entries().keySet(), java.util.Set.of("mine"));
     }
 
-    /** What binds still has room where all else is refused. */
+    /** Commits that may use the reserve succeed when the store is full for all others. */
     public void fullStoreStillAcceptsReservedCommits() throws IOException {
         DurableStore store = open(new MemoryMedia(), "r1");
         assertThrows(DurableStore.StoreFullException.class, () -> {
