--- a/lab/src/main/java/vetchrill/auditing/AuditColumns.java
+++ b/lab/src/main/java/vetchrill/auditing/AuditColumns.java
@@ -1,6 +1,7 @@
 package vetchrill.auditing;
 
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.nio.channels.FileChannel;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
@@ -14,7 +15,7 @@
 import org.apache.arrow.vector.ipc.ArrowFileWriter;
 import vetchrill.audit.AuditEvent;
 
-/** All rows of all records in one Arrow file, whole batches at a time, one record after the other. */
+/** Exports the events of all audit logs, one log after the other, to an Arrow file. */
 public final class AuditColumns {
     private static final int BATCH_ROWS = 16_384;
     private static final long MAX_MEMORY_BYTES = 256L << 20;
@@ -22,7 +23,7 @@
     private AuditColumns() {
     }
 
-    /** How many rows were written. */
+    /** Writes a new file and returns the number of rows. */
     public static long write(FleetAudit fleet, Path target) throws IOException {
         long[] written = {0};
         try (RootAllocator allocator = new RootAllocator(MAX_MEMORY_BYTES);
@@ -78,7 +79,7 @@
         try {
             out.writeBatch();
         } catch (IOException e) {
-            throw new java.io.UncheckedIOException(e);
+            throw new UncheckedIOException(e);
         }
         written[0] += rows[0];
         rows[0] = 0;
--- a/lab/src/main/java/vetchrill/auditing/AuditPage.java
+++ b/lab/src/main/java/vetchrill/auditing/AuditPage.java
@@ -6,10 +6,10 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import vetchrill.audit.HybridLogicalClock;
 import vetchrill.audit.AuditEvent;
+import vetchrill.audit.HybridLogicalClock;
 
-/** One page to look at: a lane for each instance, by which version it decided, and what staff was told. */
+/** Renders an HTML page: by instance the active version over time, and the notices to staff. */
 public final class AuditPage {
     private static final int LEFT_MARGIN_PX = 120;
     private static final int WIDTH_PX = 1_400;
@@ -17,13 +17,14 @@
     private static final int TOP_MARGIN_PX = 40;
     private static final int MARKER_DIAMETER_PX = 7;
 
+    /** From this time on the instance had that active version, and was fenced or not. */
     private record Span(long fromMs, long version, boolean fenced) {
     }
 
     private AuditPage() {
     }
 
-    /** HTML with a drawing in it that needs nothing else. */
+    /** A self-contained HTML page with an SVG chart. */
     public static String render(FleetAudit fleet) throws IOException {
         List<FleetAudit.InstanceEvent> events = fleet.timeline();
         Map<String, List<FleetAudit.InstanceEvent>> lanes = new TreeMap<>();
@@ -34,8 +35,8 @@
         double pxPerMs = (double) (WIDTH_PX - LEFT_MARGIN_PX - 20) / Math.max(1, lastMs - firstMs);
         StringBuilder page = new StringBuilder("<!DOCTYPE html>\n<meta charset=\"utf-8\"><title>Versions</title>\n"
                 + "<style>body{font:14px sans-serif}text{font:11px sans-serif}td{padding:1px 8px}</style>\n"
-                + "<p>One lane an instance; a colour a version, hatched grey while it was shut out. Time is hybrid: a "
-                + "clock that is ahead carries the others with it.</p>\n");
+                + "<p>One lane per instance, one colour per version, grey while the instance was fenced or not "
+                + "running. Times are hybrid: a clock that is ahead moves the others forward.</p>\n");
         int height = TOP_MARGIN_PX + LANE_HEIGHT_PX * lanes.size() + 20;
         page.append(String.format("<svg width=\"%d\" height=\"%d\">%n", WIDTH_PX, height));
         int y = TOP_MARGIN_PX;
@@ -47,20 +48,18 @@
         page.append("</svg>\n<table>\n");
         for (FleetAudit.InstanceEvent each : events) {
             AuditEvent event = each.event();
-            if (event.kind() == AuditEvent.Kind.EVENT && !event.text().equals("HEARD") && !event.text()
-                    .equals("TAKEN")) {
+            if (event.kind() == AuditEvent.Kind.EVENT && !event.text().equals("HEARD")
+                    && !event.text().equals("TAKEN")) {
                 page.append(String.format(Locale.ROOT, "<tr><td>%.3f s<td>%s<td>%s<td>version %d<td>%s%n",
                         (HybridLogicalClock.toMillis(event.hybridTime()) - firstMs) / 1e3, escapeHtml(each.instance()),
-                        escapeHtml(event.text()),
-                        event.version(), escapeHtml(event.detail())));
+                        escapeHtml(event.text()), event.version(), escapeHtml(event.detail())));
             }
         }
         return page.append("</table>\n").toString();
     }
 
-    private static void appendLane(StringBuilder page, List<FleetAudit.InstanceEvent> events, long firstMs, long lastMs,
-            double pxPerMs,
-            int y) {
+    private static void appendLane(StringBuilder page, List<FleetAudit.InstanceEvent> events, long firstMs,
+            long lastMs, double pxPerMs, int y) {
         List<Span> spans = new ArrayList<>();
         long version = 0;
         boolean fenced = false;
@@ -86,8 +85,8 @@
             page.append(String.format(Locale.ROOT, "<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\" fill=\"%s\">"
                     + "<title>version %d%s</title></rect>%n", LEFT_MARGIN_PX + (span.fromMs() - firstMs) * pxPerMs, y,
                     Math.max(0.5, (endMs - span.fromMs()) * pxPerMs), LANE_HEIGHT_PX - 8,
-                    span.fenced() ? "#bbb" : "hsl("
-                    + span.version() * 67 % 360 + ",60%,65%)", span.version(), span.fenced() ? ", shut out" : ""));
+                    span.fenced() ? "#bbb" : "hsl(" + span.version() * 67 % 360 + ",60%,65%)", span.version(),
+                    span.fenced() ? ", fenced" : ""));
             if (!span.fenced() && (endMs - span.fromMs()) * pxPerMs > 14) {
                 page.append(String.format(Locale.ROOT, "<text x=\"%.1f\" y=\"%d\">%d</text>%n", LEFT_MARGIN_PX + 3
                         + (span.fromMs() - firstMs) * pxPerMs, y + 13, span.version()));
@@ -95,16 +94,14 @@
         }
         for (FleetAudit.InstanceEvent each : events) {
             AuditEvent event = each.event();
-            boolean failure = event.kind() == AuditEvent.Kind.EVENT && List.of("FORK", "STOPPED", "REFUSED", "DISK",
-                    "BEHIND")
-                    .contains(event.text());
+            boolean failure = event.kind() == AuditEvent.Kind.EVENT
+                    && List.of("FORK", "STOPPED", "REFUSED", "DISK", "BEHIND").contains(event.text());
             if (failure || event.kind() == AuditEvent.Kind.LIFE || event.kind() == AuditEvent.Kind.LEFT_OUT) {
                 page.append(String.format(Locale.ROOT, "<circle cx=\"%.1f\" cy=\"%d\" r=\"%d\" fill=\"%s\"><title>%s "
                         + "%s</title></circle>%n",
-                        LEFT_MARGIN_PX + (HybridLogicalClock.toMillis(event.hybridTime()) - firstMs)
-                        * pxPerMs,
+                        LEFT_MARGIN_PX + (HybridLogicalClock.toMillis(event.hybridTime()) - firstMs) * pxPerMs,
                         y + LANE_HEIGHT_PX - 6, MARKER_DIAMETER_PX / 2,
-                                failure ? "#c00" : event.kind() == AuditEvent.Kind.LIFE ? "#060" : "#c80",
+                        failure ? "#c00" : event.kind() == AuditEvent.Kind.LIFE ? "#060" : "#c80",
                         event.kind() == AuditEvent.Kind.EVENT ? escapeHtml(event.text()) : event.kind(),
                         escapeHtml(event.detail())));
             }
--- a/lab/src/main/java/vetchrill/auditing/FleetAudit.java
+++ b/lab/src/main/java/vetchrill/auditing/FleetAudit.java
@@ -9,26 +9,34 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import vetchrill.audit.HybridLogicalClock;
 import vetchrill.audit.AuditEvent;
+import vetchrill.audit.HybridLogicalClock;
 
-/** The records of all instances, held against each other. */
+/** The audit logs of all instances, read together and checked against each other. */
 public final class FleetAudit {
-    /** A row and whose it is. */
+    /** An event with the instance and the process that wrote it. */
     public record InstanceEvent(String instance, long processNonce, AuditEvent event) {
     }
 
-    /** What one instance began under a floor, after somebody had held that floor to be confirmed. */
+    /**
+     * An instance that started exchanges of a version below a minimum version after an instance had reported that as
+     * confirmed. Times are Unix milliseconds of the hybrid clock.
+     *
+     * @param count the number of these exchanges
+     * @param firstMs when the first of them started, and {@code lastMs} the last
+     * @param confirmedMs when the minimum version was first reported as confirmed
+     */
     public record Straggler(String instance, long minVersion, long count, long firstMs, long lastMs, long confirmedMs) {
     }
 
     public final List<InstanceAuditLog> logs;
 
+    /** Finds the logs below these folders; reads none yet. */
     public FleetAudit(List<Path> folders) throws IOException {
         logs = InstanceAuditLog.findIn(folders);
     }
 
-    /** Reads all, one history on each core; {@code to} is called by several threads at once, and may be null. */
+    /** Reads all logs in parallel; {@code visitor} may be null and is called by several threads at once. */
     public void read(InstanceAuditLog.EventVisitor visitor) throws IOException {
         try {
             logs.parallelStream().forEach(each -> {
@@ -43,7 +51,10 @@
         }
     }
 
-    /** After a reading: what no single record shows. A history that was changed later, cut off, or lived twice. */
+    /**
+     * Finds what no single log shows: logs that were changed later, truncated, or written by two processes under one
+     * name. Call it after {@link #read}.
+     */
     public List<String> findInconsistencies() {
         List<String> findings = new ArrayList<>();
         Map<String, List<InstanceAuditLog>> byName = new TreeMap<>();
@@ -59,25 +70,23 @@
             for (InstanceAuditLog.ReportedPosition position : reporter.reportedPositions) {
                 InstanceAuditLog.ReportedPosition previous = latest.put(position.instance(), position);
                 if (previous != null && position.block() < previous.block()) {
-                    distinctFindings.putIfAbsent(position.instance() + " back",
-                            position.instance() + " told " + reporter.name + " of block "
-                            + previous.block() + " and later of block " + position.block()
-                            + ": it lost its record, or lived twice");
+                    distinctFindings.putIfAbsent(position.instance() + " back", position.instance() + " reported to "
+                            + reporter.name + " block " + previous.block() + " and later block " + position.block()
+                            + ": its audit log was lost, or two processes used its name");
                 }
                 List<InstanceAuditLog> copies = byName.getOrDefault(position.instance(), List.of());
-                if (!copies.isEmpty() && position.block() >= copies.stream().mapToLong(InstanceAuditLog::nextBlock)
-                        .max().orElse(0)) {
-                    distinctFindings.putIfAbsent(position.instance() + " short",
-                            position.instance() + " told " + reporter.name + " of block "
-                            + position.block() + ", and its record ends before: it was cut off");
+                if (!copies.isEmpty()
+                        && position.block() >= copies.stream().mapToLong(InstanceAuditLog::nextBlock).max().orElse(0)) {
+                    distinctFindings.putIfAbsent(position.instance() + " short", position.instance()
+                            + " reported to " + reporter.name + " block " + position.block()
+                            + ", but its audit log ends before that block: it was truncated");
                 }
                 boolean present = copies.stream().anyMatch(each -> each.digestPrefixAt(position.block()) != 0);
                 if (present && copies.stream()
                         .noneMatch(each -> each.digestPrefixAt(position.block()) == position.digestPrefix())) {
-                    distinctFindings.putIfAbsent(position.instance() + " changed",
-                            "block " + position.block() + " of " + position.instance()
-                            + " is not the one that " + reporter.name
-                            + " was told of: it was changed later, or lived twice");
+                    distinctFindings.putIfAbsent(position.instance() + " changed", "block " + position.block() + " of "
+                            + position.instance() + " differs from the one reported to " + reporter.name
+                            + ": the audit log was changed later, or two processes used the name");
                 }
             }
         }
@@ -87,17 +96,17 @@
 
     private static void compareCopies(String name, InstanceAuditLog one, InstanceAuditLog other,
             List<String> findings) {
-        for (long block = Math.max(one.firstBlock(), other.firstBlock()); block < Math.min(one.nextBlock(),
-                other.nextBlock()); block++) {
+        for (long block = Math.max(one.firstBlock(), other.firstBlock());
+                block < Math.min(one.nextBlock(), other.nextBlock()); block++) {
             if (one.digestPrefixAt(block) != other.digestPrefixAt(block)) {
-                findings.add(name + " has two records that part at block " + block + ": " + one.folder + " and "
-                        + other.folder);
+                findings.add(name + " has two audit logs that differ from block " + block + " on: " + one.folder
+                        + " and " + other.folder);
                 return;
             }
         }
     }
 
-    /** All but exchanges and heads, in hybrid time. */
+    /** All events but those of exchanges and reported positions, in the order of hybrid time. */
     public List<InstanceEvent> timeline() throws IOException {
         List<InstanceEvent> all = new ArrayList<>();
         read((log, event) -> {
@@ -116,7 +125,7 @@
         return all;
     }
 
-    /** What is told of one exchange. */
+    /** The events of the exchange with that id, in the order of hybrid time. */
     public List<InstanceEvent> eventsOf(long id) throws IOException {
         List<InstanceEvent> all = new ArrayList<>();
         read((log, event) -> {
@@ -131,7 +140,7 @@
         return all;
     }
 
-    /** Who acted under a floor after it was confirmed, by hybrid time. */
+    /** Instances that started exchanges of a version below the minimum version after it was confirmed. */
     public List<Straggler> stragglers() throws IOException {
         TreeMap<Long, Long> confirmed = new TreeMap<>();
         for (InstanceEvent each : timeline()) {
@@ -142,8 +151,7 @@
         Map<String, long[]> sums = new TreeMap<>();
         read((log, event) -> {
             Map.Entry<Long, Long> violated = event.kind() == AuditEvent.Kind.BEGUN
-                    ? confirmed.higherEntry(event.version())
-                    : null;
+                    ? confirmed.higherEntry(event.version()) : null;
             if (violated != null && event.hybridTime() > violated.getValue()) {
                 synchronized (sums) {
                     long[] sum = sums.computeIfAbsent(log.name + " " + violated.getKey(),
--- a/lab/src/main/java/vetchrill/auditing/InstanceAuditLog.java
+++ b/lab/src/main/java/vetchrill/auditing/InstanceAuditLog.java
@@ -8,41 +8,53 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import vetchrill.audit.HybridLogicalClock;
 import vetchrill.audit.AuditEvent;
 import vetchrill.audit.AuditSegments;
+import vetchrill.audit.HybridLogicalClock;
 
-/** The record of one instance as its files hold it, read from beginning to end, and what is wrong with it. */
+/** The audit log of one instance: reads its files from the beginning to the end and checks them. */
 public final class InstanceAuditLog {
-    /** Who is told of the rows, with what holds where they stand. */
+    /** Receives the events; the public fields of the log tell what holds at that event. */
     public interface EventVisitor {
         void visit(InstanceAuditLog log, AuditEvent event);
     }
 
-    /** What another instance was told of this kind of record: so far had it come, with that digest. */
+    /**
+     * A position in the audit log of another instance, as that one reported it to the owner of this log.
+     *
+     * @param reporter the owner of this log, which wrote the position down
+     * @param instance whose audit log has come to the block
+     * @param digestPrefix the first 16 hexadecimal digits of the digest of the block
+     */
     public record ReportedPosition(String reporter, String instance, long block, long digestPrefix, long hybridTime) {
     }
 
+    /** Hybrid time may go back by so much between two processes before it is a finding. */
     private static final int MAX_CLOCK_STEP_BACK_MS = 1_000;
+    private static final int DIGEST_PREFIX_DIGITS = 16;
 
     public final Path folder;
+    /** The name of the instance, by the names of the files. */
     public final String name;
     private final List<Path> files;
     private long firstBlock = -1;
+    /** By block from {@code firstBlock} on; 0 for a block that is missing. */
     private long[] digestPrefixes = new long[256];
     private int blockCount;
     public long eventCount;
+    /** Events that the instance left out for lack of room. */
     public long omittedEvents;
     public long exchangesBegun;
     public long exchangesEnded;
     public int processStarts;
     public int orderlyShutdowns;
-    /** Octets behind the last whole block: what a write had begun as its process was killed. */
+    /** Bytes after the last intact block, of a write in progress when the process was killed. */
     public long tornBytes;
     public final List<String> problems = new ArrayList<>();
     public final List<ReportedPosition> reportedPositions = new ArrayList<>();
-    /** The life and the version that hold where the reading stands. */
+    /** The nonce of the process that wrote the events now being read. */
     public long processNonce;
+    /** Program and settings of that process, as it wrote them at its start. */
     public String processDescription = "";
     private long lastHybridTime;
     private long expectedBlock = -1;
@@ -53,12 +65,12 @@
         this.files = files;
     }
 
-    /** All records below some folders, those of dead instances too. */
+    /** Finds all audit logs below these folders, those of dead instances too. */
     public static List<InstanceAuditLog> findIn(List<Path> folders) throws IOException {
         Map<String, List<Path>> filesByLog = new TreeMap<>();
         for (Path each : folders) {
             if (!Files.isDirectory(each)) {
-                throw new IOException(each + " is no folder");
+                throw new IOException(each + " is not a folder");
             }
             List<Path> files;
             try (var walk = Files.walk(each)) {
@@ -77,7 +89,7 @@
         return logs;
     }
 
-    /** Reads all of it; {@code to} may be null. A second reading begins anew. */
+    /** Reads all segments; {@code visitor} may be null. The results replace those of an earlier call. */
     public void read(EventVisitor visitor) throws IOException {
         firstBlock = -1;
         blockCount = 0;
@@ -100,14 +112,15 @@
                 @Override
                 public void segment(Path file, AuditSegments.Header header) {
                     if (!header.name().equals(name)) {
-                        problems.add(file.getFileName() + " is of " + header.name());
+                        problems.add(file.getFileName() + " belongs to " + header.name());
                     }
                     if (expectedBlock >= 0 && header.firstBlock() != expectedBlock) {
                         problems.add(file.getFileName() + " begins at block " + header.firstBlock()
-                                + ", the one before ends at " + expectedBlock);
-                    } else if (previousDigest[0] != null && !Arrays.equals(previousDigest[0],
-                            header.previousDigest())) {
-                        problems.add(file.getFileName() + " does not follow from the one before: another digest");
+                                + ", expected block " + expectedBlock + " after the previous segment");
+                    } else if (previousDigest[0] != null
+                            && !Arrays.equals(previousDigest[0], header.previousDigest())) {
+                        problems.add(file.getFileName()
+                                + " does not continue the previous segment: it begins with another digest");
                     }
                     if (firstBlock < 0) {
                         firstBlock = header.firstBlock();
@@ -120,7 +133,8 @@
                 @Override
                 public void block(Path file, long number, byte[] digest, boolean chained) {
                     if (!chained) {
-                        problems.add(file.getFileName() + ": block " + number + " does not follow from the one before");
+                        problems.add(file.getFileName() + ": the digest of block " + number
+                                + " does not follow from the previous block");
                     }
                     addDigestPrefix(digestPrefix(AuditSegments.hex(digest)));
                 }
@@ -135,8 +149,8 @@
                     if (isLast) {
                         tornBytes += remaining;
                     } else {
-                        problems.add(file.getFileName() + ": " + problem + " at octet " + offset + ", " + remaining
-                                + " octets lost");
+                        problems.add(file.getFileName() + ": " + problem + " at byte " + offset + ", " + remaining
+                                + " bytes lost");
                     }
                 }
             });
@@ -167,7 +181,7 @@
                 - HybridLogicalClock.toMillis(event.hybridTime()) > MAX_CLOCK_STEP_BACK_MS) {
             problems.add("the clock went back by "
                     + (HybridLogicalClock.toMillis(lastHybridTime) - HybridLogicalClock.toMillis(event.hybridTime()))
-                    + " ms between two lives");
+                    + " ms between two processes");
         }
         lastHybridTime = event.hybridTime();
         if (visitor != null) {
@@ -176,7 +190,8 @@
     }
 
     static long digestPrefix(String hex) {
-        return hex.length() < 16 ? 0 : Long.parseUnsignedLong(hex.substring(0, 16), 16);
+        return hex.length() < DIGEST_PREFIX_DIGITS ? 0
+                : Long.parseUnsignedLong(hex.substring(0, DIGEST_PREFIX_DIGITS), 16);
     }
 
     private void addDigestPrefix(long prefix) {
@@ -186,16 +201,17 @@
         digestPrefixes[blockCount++] = prefix;
     }
 
+    /** The first block that is there; earlier ones were deleted to stay within the limit on the disk. */
     public long firstBlock() {
         return Math.max(0, firstBlock);
     }
 
-    /** One past the last block that is there. */
+    /** The number after that of the last block. */
     public long nextBlock() {
         return firstBlock() + blockCount;
     }
 
-    /** The first 16 digits of the digest of that block; 0 where it is not there. */
+    /** The first 16 hexadecimal digits of the digest of that block; 0 if the block is not there. */
     public long digestPrefixAt(long block) {
         return block >= firstBlock() && block < nextBlock() ? digestPrefixes[(int) (block - firstBlock())] : 0;
     }
--- a/lab/src/test/java/vetchrill/auditing/AuditedFleetTest.java
+++ b/lab/src/test/java/vetchrill/auditing/AuditedFleetTest.java
@@ -19,7 +19,7 @@
 import vetchrill.standin.AuditTestRig;
 import vetchrill.standin.StubFrames;
 
-/** Real processes that agree on versions, under load, with faults between each ordered pair of them. */
+/** Real processes that agree on versions under load, with faults on the link of each ordered pair. */
 @Test
 public class AuditedFleetTest {
     private static final int SIZE = 5;
@@ -53,11 +53,11 @@
                     return;
                 }
             } catch (IOException e) {
-                // It is not up yet.
+                // The instance is not up yet.
             }
             Thread.sleep(20);
         }
-        throw new AssertionError(AuditTestRig.instanceName(instance) + " came to " + last + "\n"
+        throw new AssertionError(AuditTestRig.instanceName(instance) + " last reported " + last + "\n"
                 + rig.readLog(instance));
     }
 
@@ -82,7 +82,7 @@
         return new Object[][] {{6}, {9}};
     }
 
-    /** Troubles as they are drawn: all that stubs and interpreters counted is in the records as it was. */
+    /** Under random faults the audit logs agree with all that stubs and interpreters counted. */
     @Test(dataProvider = "seeds")
     public void auditLogsMatchTheCountsUnderRandomFaults(int seed) throws Exception {
         AuditScenario.Outcome outcome = AuditScenario.run(SIZE, 3, 6, seed, AuditScenario.createFolder());
@@ -93,7 +93,7 @@
                 outcome.exchanges + " " + outcome.minVersionsConfirmed);
     }
 
-    /** One that hears nobody is shut out by itself, denies with a time to come back, and comes up once it is heard. */
+    /** Cut off from all others it is fenced and denies exchanges; after the partition it activates the version. */
     public void partitionedInstanceRejectsAfterItsLeaseAndRecovers() throws Exception {
         startFive();
         rig.setPartition(1 << 4, true);
@@ -114,7 +114,7 @@
         assertEquals(endAndCheck().minVersionsConfirmed, 0);
     }
 
-    /** It wakes with a full queue and believes in its lease: the monotonic clock went on while it stood still. */
+    /** On resume it has a full queue and an expired lease: the monotonic clock goes on while a process is stopped. */
     public void pausedInstanceStartsNothingBelowTheMinVersionOnResume() throws Exception {
         startFive();
         rig.signal(3, "STOP");
@@ -128,7 +128,7 @@
         endAndCheck();
     }
 
-    /** What could not be said between them is found as they meet: neither is taken further, the next number is. */
+    /** Published on both sides of a partition, the conflict is detected when it heals; the next number is activated. */
     public void conflictingVersionsWithOneNumberAreDetected() throws Exception {
         startFive();
         rig.setPartition(0b11000, true);
@@ -145,7 +145,7 @@
         assertTrue(timeline.stream().anyMatch(each -> each.event().text().equals("FORK")));
     }
 
-    /** All disks of the three that keep the floor but one are there: the one without is taught and answers again. */
+    /** Of three voters one loses its disk: it gets its state back from the others and votes again. */
     public void voterThatLostItsDiskRecoversItsState() throws Exception {
         startFive();
         assertTrue(rig.publish(0, 1, 1));
@@ -166,7 +166,7 @@
                 == 2);
     }
 
-    /** A release in the middle of a change of settings: what is for the new program is taken by that alone. */
+    /** A version meant for a new program, published during its rollout, is activated by that program alone. */
     public void versionForAnotherProgramIsActivatedByThatProgramOnly() throws Exception {
         startFive();
         assertTrue(rig.publish(0, 1, 1));
--- a/lab/src/test/java/vetchrill/auditing/FleetAuditTest.java
+++ b/lab/src/test/java/vetchrill/auditing/FleetAuditTest.java
@@ -15,12 +15,12 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 import vetchrill.audit.AuditConfig;
+import vetchrill.audit.AuditSegments;
 import vetchrill.audit.AuditWriter;
 import vetchrill.audit.HybridLogicalClock;
-import vetchrill.audit.AuditSegments;
 import vetchrill.routing.Recorder;
 
-/** Records that end in the middle, are changed later, lived twice, or meet a disk that is full. */
+/** Audit logs that end in a torn block, are changed or truncated later, fork, or meet a full disk. */
 @Test
 public class FleetAuditTest {
     private Path folder;
@@ -54,7 +54,7 @@
         for (int i = 0; i < 500 && writer.position().block() < block; i++) {
             Thread.sleep(10);
         }
-        assertTrue(writer.position().block() >= block, "it came to " + writer.position());
+        assertTrue(writer.position().block() >= block, "the log is at " + writer.position());
     }
 
     private FleetAudit read() throws IOException {
@@ -90,11 +90,11 @@
         assertEquals(continued.problems, List.of());
         assertEquals(continued.tornBytes, 0);
         assertEquals(continued.processStarts, 2);
-        assertTrue(continued.exchangesEnded >= 15, "over " + continued.exchangesEnded);
+        assertTrue(continued.exchangesEnded >= 15, "ended " + continued.exchangesEnded);
         assertEquals(read().eventsOf(104).size(), 2);
     }
 
-    /** An octet that is another one shows by its block; a record that was made anew shows by what others were told. */
+    /** A changed byte is detected by its block, a rewritten log by the position that other instances were sent. */
     public void laterChangesAreDetected() throws Exception {
         AuditWriter a = writer("a");
         writeExchanges(a, 0, 50);
@@ -116,7 +116,7 @@
         awaitBlock(rewritten, 0);
         rewritten.close();
         assertEquals(logOf("a").problems, List.of());
-        assertTrue(read().findInconsistencies().get(0).contains("is not the one that b was told of"),
+        assertTrue(read().findInconsistencies().get(0).contains("differs from the one reported to b"),
                 read().findInconsistencies().toString());
     }
 
@@ -135,9 +135,9 @@
         try (FileChannel channel = FileChannel.open(lastSegment("a"), StandardOpenOption.WRITE)) {
             channel.truncate(Files.size(folder.resolve("copy").resolve(lastSegment("a").getFileName())));
         }
-        assertTrue(read().findInconsistencies().stream().anyMatch(each -> each.contains("was cut off")),
+        assertTrue(read().findInconsistencies().stream().anyMatch(each -> each.contains("was truncated")),
                 read().findInconsistencies().toString());
-        // The copy goes on by itself, as a second process with the same disk would.
+        // The copy goes on separately, as a second process with the same disk would.
         AuditWriter twin = new AuditWriter(new AuditConfig(folder.resolve("copy"), 64, 100, 1 << 20, 1 << 24), "a", 8,
                 "a twin", new HybridLogicalClock(System::currentTimeMillis), AuditWriter.FILE_SYSTEM);
         writeExchanges(twin, 90, 5);
@@ -146,11 +146,11 @@
         writeExchanges(original, 50, 5);
         original.close();
         assertTrue(read().findInconsistencies().stream()
-                .anyMatch(each -> each.contains("two records that part at block")),
+                .anyMatch(each -> each.contains("two audit logs that differ from block")),
                 read().findInconsistencies().toString());
     }
 
-    /** A full disk: nobody waits, what is lost is counted, and the record is whole but for it once there is room. */
+    /** On a full disk nobody waits: events are left out and counted, and the log is intact once there is room. */
     public void fullDiskOmitsEventsThatAreCounted() throws Exception {
         AtomicBoolean full = new AtomicBoolean();
         AuditWriter.Disk disk = new AuditWriter.Disk() {
@@ -197,12 +197,12 @@
         for (Path each : AuditSegments.filesIn(folder.resolve("a"))) {
             totalBytes += Files.size(each);
         }
-        assertTrue(totalBytes <= 30_000, totalBytes + " octets");
+        assertTrue(totalBytes <= 30_000, totalBytes + " bytes");
         assertTrue(logOf("a").firstBlock() > 0);
         assertEquals(logOf("a").problems, List.of());
     }
 
-    /** What was heard is later than what was done before it was said, whatever the clocks say. */
+    /** What happens after a message was received has a later hybrid time than its sending, whatever the clocks say. */
     public void hybridTimeIsLaterThanAnyObservedTime() {
         long[] wallMs = {1_000_000, 500_000};
         HybridLogicalClock ahead = new HybridLogicalClock(() -> wallMs[0]);
--- a/lab/src/test/java/vetchrill/auditing/PowerLossTest.java
+++ b/lab/src/test/java/vetchrill/auditing/PowerLossTest.java
@@ -8,7 +8,7 @@
 import vetchrill.standin.AuditScenario;
 import vetchrill.standin.PowerLossScenario;
 
-/** Real processes whose power goes together, under load, in the middle of versions and floors. */
+/** Real processes that lose power together, under load, while versions and minimum versions are being agreed on. */
 @Test
 public class PowerLossTest {
     @DataProvider
@@ -16,7 +16,7 @@
         return new Object[][] {{3, 3, 14, false, 1}, {5, 3, 10, true, 2}};
     }
 
-    /** Nothing that binds goes back, and disks that are not what they were are told apart. */
+    /** No acknowledged promise or version goes back, and altered disks are detected. */
     @Test(dataProvider = "plays")
     public void committedStateNeverGoesBack(int size, int voters, int losses, boolean damageDisks, int seed)
             throws Exception {
@@ -27,7 +27,6 @@
         assertTrue(outcome.powerLosses >= losses);
         assertTrue(outcome.audit.exchanges > 100, outcome.audit.exchanges + " exchanges");
         assertTrue(!damageDisks || outcome.disksDamaged > 2 && outcome.damageDetected >= outcome.disksDamaged,
-                outcome.damageDetected + " of "
-                + outcome.disksDamaged);
+                outcome.damageDetected + " of " + outcome.disksDamaged);
     }
 }
