--- a/lab/src/test/java/vetchrill/routing/HealthReporterTest.java
+++ b/lab/src/test/java/vetchrill/routing/HealthReporterTest.java
@@ -22,9 +22,11 @@
         HealthReporter report = new HealthReporter(new HealthReportSink() {
             @Override
             public int report(boolean up) throws IOException {
+                // Decided before the test sees the report, as the test sets failuresLeft for the report after that.
+                boolean fails = failuresLeft > 0;
+                failuresLeft -= fails ? 1 : 0;
                 reports.add(up);
-                if (failuresLeft > 0) {
-                    failuresLeft--;
+                if (fails) {
                     throw new IOException("no answer");
                 }
                 return 204;
