--- a/lab/src/main/java/vetchrill/bench/QueueBench.java
+++ b/lab/src/main/java/vetchrill/bench/QueueBench.java
@@ -16,8 +16,8 @@
 import vetchrill.model.TimingWheelQueue;
 
 /**
- * The model's queue against the plain one: one event taken and one put in, with as many waiting as a large fleet
- * has.
+ * Compares the simulator's timer wheel with a plain binary heap: each operation removes the next event and inserts it
+ * again, with as many events in the queue as the simulation of a large fleet has.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -26,7 +26,7 @@
     private static final class UnusedEvent extends Event {
         @Override
         public void execute(long now) {
-            throw new IllegalStateException("not played here");
+            throw new IllegalStateException("the benchmark runs no events");
         }
     }
 
@@ -47,7 +47,10 @@
         }
     }
 
-    /** As in the model: most of it soon, a look each tenth of a second, and what a stub gives up seconds later. */
+    /**
+     * Draws delays as the simulator has them: most are below 30 ms, some are the 100 ms period of a tick, and the rest
+     * are attempt timeouts of several seconds.
+     */
     private long nextEventTime() {
         int kind = random.nextInt(10);
         return events.now() + (kind < 6 ? random.nextInt(300) : kind < 8 ? 1_000 : 37_000 + random.nextInt(23_000));
--- a/lab/src/main/java/vetchrill/bench/RecorderBench.java
+++ b/lab/src/main/java/vetchrill/bench/RecorderBench.java
@@ -23,14 +23,15 @@
 import vetchrill.routing.Recorder;
 
 /**
- * What recording one exchange costs the decision thread, on against off. Some work stands between two exchanges, as no
- * instance has a million of them a second and a full ring would only measure how fast it is full.
+ * Measures what recording one exchange costs the decision thread, with recording on and off. Each exchange is preceded
+ * by some work: no instance handles a million exchanges a second, and without a pause the ring would be full, so that
+ * only the rejected path would be measured.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
 public class RecorderBench {
-    /** Of JMH's tokens, some two nanoseconds each. */
+    /** In tokens of {@link Blackhole#consumeCPU}, about two nanoseconds each. */
     private static final int WORK_TOKENS_PER_EXCHANGE = 2_000;
 
     @Param({"off", "on"})
@@ -60,6 +61,7 @@
         }
     }
 
+    /** One recorded exchange, together with the work before it. */
     @Benchmark
     public long exchange() {
         Blackhole.consumeCPU(WORK_TOKENS_PER_EXCHANGE);
--- a/lab/src/main/java/vetchrill/files/Folders.java
+++ b/lab/src/main/java/vetchrill/files/Folders.java
@@ -5,12 +5,12 @@
 import java.nio.file.Path;
 import java.util.Comparator;
 
-/** What every tool does with folders of its own. */
+/** Recursive operations on folders. */
 public final class Folders {
     private Folders() {
     }
 
-    /** With all that is in it; nothing where there is none. */
+    /** Deletes the folder with all its contents; does nothing if it does not exist. */
     public static void deleteRecursively(Path folder) throws IOException {
         if (Files.exists(folder)) {
             try (var paths = Files.walk(folder)) {
@@ -21,7 +21,7 @@
         }
     }
 
-    /** All that is in it, into one that is not there yet. */
+    /** Copies the folder with all its contents to {@code to}, which must not exist. */
     public static void copyRecursively(Path from, Path to) throws IOException {
         try (var paths = Files.walk(from)) {
             for (Path each : paths.toList()) {
--- a/lab/src/main/java/vetchrill/standin/AuditScenario.java
+++ b/lab/src/main/java/vetchrill/standin/AuditScenario.java
@@ -1,9 +1,11 @@
 package vetchrill.standin;
 
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -14,38 +16,71 @@
 import vetchrill.audit.AuditEvent;
 import vetchrill.auditing.FleetAudit;
 import vetchrill.auditing.InstanceAuditLog;
+import vetchrill.standin.AuditTestRig.ConfirmedMinVersion;
 import vetchrill.standin.AuditTestRig.ObservedAnswer;
 import vetchrill.standin.AuditTestRig.ObservedApply;
-import vetchrill.standin.AuditTestRig.ConfirmedMinVersion;
 import vetchrill.standin.AuditTestRig.ProcessDeath;
 
 /**
- * One play of the rig: versions are published and floors raised while processes are killed, stopped, cut off, lose
- * their disks and their clocks step; then all is healed, and what stubs and interpreters counted is held against the
- * records.
+ * Publishes versions and raises minimum versions in an {@link AuditTestRig} while processes are killed, stopped or
+ * partitioned, lose their disks, or have their clocks stepped. Then it heals all faults and compares what stubs and
+ * fake interpreters observed with the audit logs.
  */
 public final class AuditScenario {
-    /** A record is a prefix of what happened: what is missing of a killed process is later than all that is there. */
+    static final int EXCHANGES_PER_S = 40;
+    static final int MIN_VERSION_TIMEOUT_MS = 5_000;
+    /** A result may be observed, or an answer read, this long after its instance was killed. */
     private static final long OBSERVATION_SLACK_NANOS = 50_000_000;
+    /**
+     * An audit log is a prefix of what happened: the events missing from that of a killed process are later than all
+     * that it contains, and at most this old at the kill.
+     */
     private static final long MAX_LOST_TAIL_NANOS = 2_000_000_000L;
+    private static final int LAST_FLUSH_WAIT_MS = 300;
+    private static final int FAULT_DURATION_MS = 1_500;
+    private static final int ROLLOUT_TIMEOUT_MS = 4_000;
+    private static final int LEASE_EXPIRY_MARGIN_MS = 300;
+    private static final int LINK_DELAY_MS = 30;
+    private static final int CLOCK_STEP_MS = 3_600_000;
 
-    /** What came of it. */
+    // The faults that are drawn. The first also publishes other content under the same number.
+    private static final int KILL_AND_CONFLICT = 0;
+    private static final int KILL = 1;
+    private static final int STOP = 2;
+    private static final int PARTITION = 3;
+    private static final int DROP_OUTGOING = 4;
+    private static final int DROP_INCOMING = 5;
+    private static final int DELAY = 6;
+    private static final int STEP_CLOCK = 7;
+    private static final int FILL_DISK = 8;
+    private static final int CLOSE_CONNECTIONS = 9;
+    private static final int FAULT_KINDS = 10;
+
+    /** The result of a scenario: counts over all instances. */
     public static final class Outcome {
         public int processes;
         public int faults;
         public long exchanges;
+        /** Violation: exchanges that are missing from the audit logs without a reason. */
         public long unaccounted;
+        /** Violation: exchanges that the audit logs show with another answer or version. */
         public long misattributed;
+        /** Violation: exchanges started under a version below a minimum version whose lease had expired. */
         public long belowMinVersion;
-        /** By how much later than one lease after the confirmation the latest was begun; below 0 for earlier. */
+        /**
+         * The latest start of an exchange below a confirmed minimum version, relative to one lease after the
+         * confirmation; negative if it was before.
+         */
         public long fencingBeyondLeaseMs = Long.MIN_VALUE;
         public int minVersionsConfirmed;
         public int inconsistencies;
         public int disksLost;
         public long omittedEvents;
-        /** How long before a kill the first was answered that is missing for it. */
+        /** The longest time before a kill at which an exchange was observed that is missing because of it. */
         public long longestLostTailMs;
+        /** The times until a version was active on all instances. */
         public final List<Long> publishTimesMs = new ArrayList<>();
+        /** Descriptions of the violations. */
         public final List<String> violations = new ArrayList<>();
         public boolean allExitedCleanly = true;
     }
@@ -56,15 +91,15 @@
     private AuditScenario() {
     }
 
-    /** Plays so many troubles, drawn from the seed, in a folder that is there and empty. */
-    public static Outcome run(int size, int voters, int faults, long seed, Path folder) throws IOException,
-            InterruptedException {
+    /** Runs that many faults, drawn from the seed, in an empty folder. */
+    public static Outcome run(int size, int voters, int faults, long seed, Path folder)
+            throws IOException, InterruptedException {
         Outcome outcome = new Outcome();
         outcome.processes = size;
         SplittableRandom random = new SplittableRandom(seed);
         try (AuditTestRig rig = new AuditTestRig(size, voters, folder, seed)) {
             rig.awaitVersionOnAll(0);
-            rig.startLoad(40);
+            rig.startLoad(EXCHANGES_PER_S);
             for (int i = 0; i < faults; i++) {
                 runFault(rig, size, voters, random, outcome);
             }
@@ -73,16 +108,16 @@
         return outcome;
     }
 
-    /** With all healed, one more version comes to all; then the fleet ends in its order and is judged. */
+    /** After all faults are healed, rolls out one more version, shuts the fleet down and verifies its audit logs. */
     static void shutDownAndVerify(AuditTestRig rig, int publisher, Outcome outcome) throws IOException,
             InterruptedException {
         rig.awaitServing();
         long lastVersion = rig.lastPublished + 1;
         if (!rig.publish(publisher, lastVersion, 1)) {
-            throw new IllegalStateException("nothing can be published though all is well");
+            throw new IllegalStateException("a version can't be published although all faults are healed");
         }
         outcome.publishTimesMs.add(rig.awaitVersionOnAll(lastVersion));
-        Thread.sleep(300);
+        Thread.sleep(LAST_FLUSH_WAIT_MS);
         for (int code : rig.shutDownAll()) {
             outcome.allExitedCleanly &= code == 0;
         }
@@ -92,24 +127,26 @@
         verify(rig, outcome);
     }
 
-    /** How a change came to a fleet while something was broken: by a version, and by a file on each machine. */
+    /**
+     * How long the rollout of a change took under a fault, by a version and by a file on each machine.
+     *
+     * @param versionMs until the last instance reached while the fault lasted
+     * @param versionHealedMs until the last instance reached before the timeout
+     */
     public record RolloutTimes(String fault, long versionMs, long versionHealedMs, int versionMissed, long fileMs,
             int fileMissed) {
     }
 
-    private static final int FAULT_DURATION_MS = 1_500;
-    private static final int ROLLOUT_TIMEOUT_MS = 4_000;
-
     /**
-     * The same change both ways under each trouble, which lasts for a second and a half: how long until all that lived
-     * and heard had it, and whom it had not come to two and a half seconds after all was healed.
+     * Rolls out the same change in both ways under each fault, which lasts 1.5 s. The results show how long it took
+     * until all reachable instances had the change, and how many did not have it 2.5 s after the fault was healed.
      */
     public static List<RolloutTimes> compareRollouts(int size, int voters, Path folder) throws IOException,
             InterruptedException {
         List<RolloutTimes> results = new ArrayList<>();
         try (AuditTestRig rig = new AuditTestRig(size, voters, folder, 1)) {
             rig.awaitVersionOnAll(0);
-            rig.startLoad(40);
+            rig.startLoad(EXCHANGES_PER_S);
             int target = size - 1;
             for (String fault : List.of("none", "delayed by 30 ms", "stopped", "cut off", "killed")) {
                 long[][] durationsMs = new long[2][];
@@ -120,7 +157,7 @@
                             Thread.sleep(FAULT_DURATION_MS);
                             healFault(rig, fault, target);
                         } catch (IOException e) {
-                            throw new java.io.UncheckedIOException(e);
+                            throw new UncheckedIOException(e);
                         } catch (InterruptedException e) {
                             Thread.currentThread().interrupt();
                         }
@@ -147,7 +184,7 @@
     private static void injectFault(AuditTestRig rig, String fault, int target) throws IOException,
             InterruptedException {
         switch (fault) {
-            case "delayed by 30 ms" -> rig.setLinkDelay(target, 30);
+            case "delayed by 30 ms" -> rig.setLinkDelay(target, LINK_DELAY_MS);
             case "stopped" -> rig.signal(target, "STOP");
             case "cut off" -> rig.setPartition(1 << target, true);
             case "killed" -> rig.kill(target);
@@ -167,55 +204,56 @@
         }
     }
 
-    /** The latest of those that came before so many milliseconds. */
+    /** The longest of the durations below the limit; -1 if there is none. */
     private static long latestBefore(long[] durationsMs, int limitMs) {
-        return java.util.Arrays.stream(durationsMs).filter(each -> each < limitMs).max().orElse(-1);
+        return Arrays.stream(durationsMs).filter(each -> each < limitMs).max().orElse(-1);
     }
 
     private static int countMissed(long[] durationsMs) {
-        return (int) java.util.Arrays.stream(durationsMs).filter(each -> each < 0).count();
+        return (int) Arrays.stream(durationsMs).filter(each -> each < 0).count();
     }
 
-    /** One trouble, begun before a version or a floor and healed after it. */
+    /** Injects a fault, publishes a version and perhaps raises the minimum version to it, and heals the fault. */
     private static void runFault(AuditTestRig rig, int size, int voters, SplittableRandom random, Outcome outcome)
             throws IOException, InterruptedException {
         int target = random.nextInt(size);
         int publisher = (target + 1 + random.nextInt(size - 1)) % size;
-        int kind = random.nextInt(10);
+        int kind = random.nextInt(FAULT_KINDS);
         int partition = 0;
         switch (kind) {
-            case 0, 1 -> rig.kill(target);
-            case 2 -> rig.signal(target, "STOP");
-            case 3 -> {
-                // Fewer than half of the keepers, and of all.
+            case KILL_AND_CONFLICT, KILL -> rig.kill(target);
+            case STOP -> rig.signal(target, "STOP");
+            case PARTITION -> {
+                // One instance: a minority of the voters, and of all instances.
                 partition = 1 << target;
                 rig.setPartition(partition, true);
             }
-            case 4 -> rig.setOneWayDrop(target, true, true);
-            case 5 -> rig.setOneWayDrop(target, false, true);
-            case 6 -> rig.setLinkDelay(target, 30);
-            case 7 -> rig.stepClock(target, random.nextBoolean() ? 3_600_000 : -3_600_000);
-            case 8 -> rig.setDiskFull(target, true);
+            case DROP_OUTGOING -> rig.setOneWayDrop(target, true, true);
+            case DROP_INCOMING -> rig.setOneWayDrop(target, false, true);
+            case DELAY -> rig.setLinkDelay(target, LINK_DELAY_MS);
+            case STEP_CLOCK -> rig.stepClock(target, random.nextBoolean() ? CLOCK_STEP_MS : -CLOCK_STEP_MS);
+            case FILL_DISK -> rig.setDiskFull(target, true);
             default -> rig.closeConnections(target);
         }
         long version = rig.lastPublished + 1;
         boolean published = rig.publish(publisher, version, 1);
-        if (kind == 0 && random.nextBoolean()) {
-            // The other half hears of another content under the same number.
+        if (kind == KILL_AND_CONFLICT && random.nextBoolean()) {
+            // Another instance is ordered to publish other content under the same number.
             published &= !rig.publish((publisher + 1) % size, version, 2);
         }
-        boolean allReachable = published && (kind == 6 || kind == 7 || kind == 9);
+        boolean allReachable = published && (kind == DELAY || kind == STEP_CLOCK || kind == CLOSE_CONNECTIONS);
         if (allReachable) {
             outcome.publishTimesMs.add(rig.awaitVersionOnAll(version));
         } else {
             Thread.sleep(100 + random.nextInt(400));
         }
-        if (published && random.nextInt(3) > 0 && rig.awaitMinVersion(publisher, version, 5_000)) {
-            // Whoever can't follow must have come to an end by then.
-            Thread.sleep(AuditTestRig.LEASE_MS + 300);
+        if (published && random.nextInt(3) > 0 && rig.awaitMinVersion(publisher, version,
+                MIN_VERSION_TIMEOUT_MS)) {
+            // By then the lease of an instance that can't reach the minimum version has expired.
+            Thread.sleep(AuditTestRig.LEASE_MS + LEASE_EXPIRY_MARGIN_MS);
         }
         switch (kind) {
-            case 0, 1 -> {
+            case KILL_AND_CONFLICT, KILL -> {
                 int diskFault = random.nextInt(4);
                 if (diskFault == 0) {
                     rig.loseDisk(target);
@@ -224,21 +262,21 @@
                 }
                 rig.start(target);
             }
-            case 2 -> rig.signal(target, "CONT");
-            case 3 -> rig.setPartition(partition, false);
-            case 4 -> rig.setOneWayDrop(target, true, false);
-            case 5 -> rig.setOneWayDrop(target, false, false);
-            case 6 -> rig.setLinkDelay(target, 0);
-            case 7 -> rig.stepClock(target, 0);
-            case 8 -> rig.setDiskFull(target, false);
+            case STOP -> rig.signal(target, "CONT");
+            case PARTITION -> rig.setPartition(partition, false);
+            case DROP_OUTGOING -> rig.setOneWayDrop(target, true, false);
+            case DROP_INCOMING -> rig.setOneWayDrop(target, false, false);
+            case DELAY -> rig.setLinkDelay(target, 0);
+            case STEP_CLOCK -> rig.stepClock(target, 0);
+            case FILL_DISK -> rig.setDiskFull(target, false);
             default -> {
             }
         }
-        // By which version the next one meets them depends on what became of this one.
+        // Which version is active at the next fault depends on the outcome of this one.
         rig.awaitServing();
     }
 
-    /** Holds what stubs and interpreters counted against the records, of a rig that has ended. */
+    /** Compares the observations of stubs and fake interpreters with the audit logs, after the rig has shut down. */
     public static void verify(AuditTestRig rig, Outcome outcome) throws IOException {
         FleetAudit fleet = new FleetAudit(rig.auditFolders());
         Map<ExchangeKey, Long> begun = new ConcurrentHashMap<>();
@@ -280,8 +318,8 @@
             } else if (each.code() == StubFrames.COMPLETED && AuditTestRig.expiresOnArrival(event.version())
                     || each.code() != answerCode(event.answer())) {
                 outcome.misattributed++;
-                outcome.violations.add(String.format("%016x was answered %d by %s, its record says %s", each.id(),
-                        each.code(), AuditTestRig.instanceName(each.instance()), event));
+                outcome.violations.add(String.format("%016x was answered with code %d by %s, its audit log has %s",
+                        each.id(), each.code(), AuditTestRig.instanceName(each.instance()), event));
             }
         }
         for (ObservedApply each : rig.applies) {
@@ -292,8 +330,8 @@
             }
             if (AuditTestRig.expiresOnArrival(version)) {
                 outcome.misattributed++;
-                outcome.violations.add(String.format("%016x was begun by %s, by version %d that denies it", each.id(),
-                        AuditTestRig.instanceName(each.instance()), version));
+                outcome.violations.add(String.format("%016x was begun by %s under version %d, which rejects it",
+                        each.id(), AuditTestRig.instanceName(each.instance()), version));
             }
             for (ConfirmedMinVersion minVersion : rig.confirmedMinVersions) {
                 if (version < minVersion.minVersion()) {
@@ -301,15 +339,17 @@
                     outcome.fencingBeyondLeaseMs = Math.max(outcome.fencingBeyondLeaseMs, lateMs);
                     if (lateMs > 0) {
                         outcome.belowMinVersion++;
-                        outcome.violations.add(AuditTestRig.instanceName(each.instance()) + " began version " + version
-                                + " " + lateMs
-                                + " ms past the lease of the floor " + minVersion.minVersion());
+                        outcome.violations.add(AuditTestRig.instanceName(each.instance())
+                                + " began an exchange under version " + version + " " + lateMs
+                                + " ms after the lease for the minimum version " + minVersion.minVersion()
+                                + " had expired");
                     }
                 }
             }
         }
     }
 
+    /** Maps the answer of an audit event to the code of the frame that the stub received. */
     private static int answerCode(int answer) {
         return switch (answer) {
             case 1 -> StubFrames.COMPLETED;
@@ -319,7 +359,7 @@
         };
     }
 
-    /** The latest of each life that is in the record. */
+    /** Keeps, for each death of the instance, the latest observation before it that the audit log contains. */
     private static void updateLastRecorded(AuditTestRig rig, int instance, long atNanos, boolean recorded,
             Map<ProcessDeath, Long> lastRecorded) {
         for (ProcessDeath each : rig.deaths) {
@@ -329,14 +369,15 @@
         }
     }
 
-    /** It may lie in the tail of a process that was killed, or be one of those that the record says it left out. */
+    /**
+     * Handles an observation that is missing from the audit log. It may belong to the unflushed tail of a process that
+     * was killed, or to the events that the log reports as omitted; else it is a violation.
+     */
     private static void classifyMissing(AuditTestRig rig, int instance, long atNanos, Set<Integer> omitting,
-            Map<ProcessDeath, Long> lastRecorded,
-            Map<Integer, Long> missing, Outcome outcome) {
+            Map<ProcessDeath, Long> lastRecorded, Map<Integer, Long> missing, Outcome outcome) {
         for (ProcessDeath each : rig.deaths) {
-            // A result may be told, or an answer read, a moment after the kill.
-            if (each.instance() == instance && atNanos >= each.atNanos() - MAX_LOST_TAIL_NANOS && atNanos
-                    <= each.atNanos() + OBSERVATION_SLACK_NANOS
+            if (each.instance() == instance && atNanos >= each.atNanos() - MAX_LOST_TAIL_NANOS
+                    && atNanos <= each.atNanos() + OBSERVATION_SLACK_NANOS
                     && atNanos >= lastRecorded.getOrDefault(each, 0L) - OBSERVATION_SLACK_NANOS) {
                 outcome.longestLostTailMs = Math.max(outcome.longestLostTailMs, (each.atNanos() - atNanos) / 1_000_000);
                 return;
@@ -346,14 +387,13 @@
             return;
         }
         outcome.unaccounted++;
-        outcome.violations.add("not in the record of " + AuditTestRig.instanceName(instance) + ", "
-                + (atNanos - rig.deaths.stream()
-                .filter(each -> each.instance() == instance).mapToLong(ProcessDeath::atNanos).max().orElse(atNanos))
-                / 1_000_000
-                + " ms after it last went");
+        outcome.violations.add("not in the audit log of " + AuditTestRig.instanceName(instance) + ", "
+                + (atNanos - rig.deaths.stream().filter(each -> each.instance() == instance)
+                .mapToLong(ProcessDeath::atNanos).max().orElse(atNanos)) / 1_000_000
+                + " ms after its process was last killed");
     }
 
-    /** A folder of its own for a play. */
+    /** Creates a temporary folder for a scenario. */
     public static Path createFolder() throws IOException {
         return Files.createTempDirectory("vetchrill-audit");
     }
--- a/lab/src/main/java/vetchrill/standin/AuditTestRig.java
+++ b/lab/src/main/java/vetchrill/standin/AuditTestRig.java
@@ -21,6 +21,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentLinkedQueue;
+import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 import vetchrill.audit.AuditSegments;
 import vetchrill.files.Folders;
@@ -29,16 +30,23 @@
 import vetchrill.protocol.DeploymentReader;
 
 /**
- * A fleet of real processes that agree on versions and keep a record, with a faulty way between each ordered pair of
- * them, under load. Interpreters and stubs count for themselves what was begun and answered, and when. Settings of
- * versions of an even number make each exchange late on arrival, as the stubs stamp them; so the answer shows by which
- * kind of version it was really decided.
+ * A fleet of real instance processes under load that agree on versions and write audit logs, with a {@link LinkProxy}
+ * between each ordered pair of them. The fake interpreters and the stubs record on their own which exchanges were
+ * started and answered, and when. Under the settings of an even version each exchange has already expired on arrival,
+ * because the stubs stamp them with an earlier time; so the answer shows which kind of version really decided it.
  */
 public final class AuditTestRig implements Closeable {
     public static final int LEASE_MS = 1_000;
     public static final int AUDIT_FLUSH_MS = 30;
+    /** Above the target latency of even versions (100 ms), and far below that of the others (15 s). */
     private static final int ARRIVAL_STAMP_AGE_MS = 1_000;
     private static final int AWAIT_TIMEOUT_S = 30;
+    private static final int POLL_MS = 5;
+    private static final int CONNECT_TIMEOUT_MS = 500;
+    private static final int ANSWER_TIMEOUT_MS = 3_000;
+    private static final int RECONNECT_DELAY_MS = 20;
+    private static final int THREAD_JOIN_MS = 5_000;
+    private static final int TORN_TAIL_BYTES = 7;
     private static final String SETTINGS_TEMPLATE = "{\"categories\":["
             + "{\"name\":\"look\",\"effect\":\"free\",\"aimMs\":AIM,\"deadlineMs\":30000,\"gain\":GAIN},"
             + "{\"name\":\"note\",\"effect\":\"single_shot\",\"aimMs\":AIM,\"deadlineMs\":30000,\"gain\":3}],"
@@ -48,19 +56,19 @@
             + "\"guarantees\":{\"fallMultiple\":8,\"stopSendingWithinMs\":500},"
             + "\"limits\":{\"maxRetryAfterMs\":1000}}";
 
-    /** What a stub saw of one exchange: the code of its answer, 0 where none came. */
+    /** The answer that a stub received for an exchange; {@code code} is 0 if there was none. */
     public record ObservedAnswer(int instance, long id, boolean mutating, int code, long atNanos) {
     }
 
-    /** What an interpreter saw. */
+    /** A command to start a run, as a fake interpreter received it. */
     public record ObservedApply(int instance, long id, long atNanos) {
     }
 
-    /** A floor that was confirmed to the one who ordered it, at the latest. */
+    /** A minimum version and the latest time at which it was confirmed to the one who ordered it. */
     public record ConfirmedMinVersion(long minVersion, long atNanos) {
     }
 
-    /** The process of one place went, without a word or in its order. */
+    /** The process of an instance was killed; afterwards its disk may have been lost or its audit log torn. */
     public record ProcessDeath(int instance, long atNanos, boolean diskLost, boolean tailTorn) {
     }
 
@@ -69,6 +77,7 @@
     private final Path folder;
     private final int[] ports;
     private final int[] peerPorts;
+    /** From each instance (first index) to each other. */
     private final LinkProxy[][] links;
     private final FakeInterpreter[] interpreters;
     private final Process[] processes;
@@ -77,18 +86,21 @@
     private final SplittableRandom random;
     public final ConcurrentLinkedQueue<ObservedAnswer> answers = new ConcurrentLinkedQueue<>();
     public final ConcurrentLinkedQueue<ObservedApply> applies = new ConcurrentLinkedQueue<>();
-    public final List<ConfirmedMinVersion> confirmedMinVersions = new java.util.concurrent.CopyOnWriteArrayList<>();
+    public final List<ConfirmedMinVersion> confirmedMinVersions = new CopyOnWriteArrayList<>();
     public final List<ProcessDeath> deaths = new ArrayList<>();
+    /** When each instance that is stopped by SIGSTOP was stopped. */
     public final ConcurrentHashMap<Integer, Long> stoppedAt = new ConcurrentHashMap<>();
     private final long[] clockOffsetsMs;
     private final boolean[] diskFull;
-    /** What each place runs: null for the program of this rig. */
+    /** The release that each instance runs; null for the program of this rig. */
     private final Path[] releases;
     private final int[] powerLossPoints;
     private volatile boolean loadRunning;
     private final List<Thread> backgroundThreads = new ArrayList<>();
+    /** The highest version number that was ordered to be published. */
     public long lastPublished;
     private int lostDisks;
+    /** The number of faults injected so far. */
     public int faults;
 
     public AuditTestRig(int size, int voters, Path folder, long seed) throws IOException {
@@ -150,23 +162,23 @@
         return folder.resolve(instanceName(instance));
     }
 
-    /** Settings as a version of that number has them; {@code gain} makes two of one number differ. */
+    /** The settings of the version with that number; with another {@code gain} their content differs. */
     public static String settingsOf(long number, int gain) {
         return SETTINGS_TEMPLATE.replace("AIM", expiresOnArrival(number) ? "100" : "15000")
                 .replace("GAIN", Integer.toString(gain));
     }
 
-    /** Whether by that version what the stubs send is late as it comes. */
+    /** Whether the exchanges of the stubs have expired on arrival under that version. */
     public static boolean expiresOnArrival(long number) {
         return number > 0 && number % 2 == 0;
     }
 
+    /** Writes the files of the instance and starts its process. */
     public void start(int instance) throws IOException {
         Files.createDirectories(instanceFolder(instance));
         Path config = writeConfig(instance);
         StringBuilder operatorConfig = new StringBuilder("peers {\n  listen = \"127.0.0.1:" + peerPorts[instance]
-                + "\"\n  zone = \"z" + instance % 3
-                + "\"\n  period_ms = 200\n  answer_ms = 80\n  sync_ms = 400\n");
+                + "\"\n  zone = \"z" + instance % 3 + "\"\n  period_ms = 200\n  answer_ms = 80\n  sync_ms = 400\n");
         for (int j = 0; j < size; j++) {
             if (j != instance) {
                 operatorConfig.append("  peer \"").append(instanceName(j)).append("\" { address = \"127.0.0.1:")
@@ -200,20 +212,20 @@
     private Path writeConfig(int instance) throws IOException {
         Path config = instanceFolder(instance).resolve("config.json");
         Files.writeString(config, "{\"name\":\"" + instanceName(instance) + "\",\"listen\":\"127.0.0.1:"
-                + ports[instance]
-                + "\",\"vm\":\"127.0.0.1:" + interpreters[instance].port() + "\",\"members\":\"127.0.0.1:"
-                + membership.port() + "\",\"seed\":\"8c1f30d27a5be964\",\"stop_ms\":1500,\"limits\":{\"cores\":1.0,"
-                + "\"memory_mb\":192,\"sockets\":64},\"settings\":" + settingsOf(0, 1) + "}");
+                + ports[instance] + "\",\"vm\":\"127.0.0.1:" + interpreters[instance].port()
+                + "\",\"members\":\"127.0.0.1:" + membership.port() + "\",\"seed\":\"8c1f30d27a5be964\","
+                + "\"stop_ms\":1500,\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":64},"
+                + "\"settings\":" + settingsOf(0, 1) + "}");
         return config;
     }
 
     private String classPath(int instance) throws IOException {
         return releases[instance] == null ? InstanceProcess.classPath()
-                : InstanceProcess.classPath().replace(ProgramDigests.location().toString(),
-                releases[instance].toString());
+                : InstanceProcess.classPath()
+                        .replace(ProgramDigests.location().toString(), releases[instance].toString());
     }
 
-    /** Another release of the program, which does the same and has another digest; where it lies. */
+    /** Creates a release that behaves like the program of this rig but has another digest, and returns its path. */
     public Path createRelease(String name) throws IOException {
         Path from = ProgramDigests.location();
         Path to = folder.resolve(name);
@@ -229,24 +241,25 @@
         return to;
     }
 
-    /** What that place runs from its next start on. */
+    /** Sets the release that the instance runs from its next start on. */
     public void install(int instance, Path release) {
         releases[instance] = release;
     }
 
+    /** Writes the file of injected faults, which the process reads while it runs. */
     private void writeFaultFile(int instance) throws IOException {
-        Files.writeString(instanceFolder(instance).resolve("rigged"), "clock_ms=" + clockOffsetsMs[instance] + " seed="
-                + random.nextLong()
+        Files.writeString(instanceFolder(instance).resolve("rigged"), "clock_ms=" + clockOffsetsMs[instance]
+                + " seed=" + random.nextLong()
                 + (powerLossPoints[instance] > 0 ? " lose_at=" + powerLossPoints[instance] : "")
                 + (diskFull[instance] ? " disk=full" : ""));
     }
 
-    /** From its next start on: the power of that place goes at that write point of its store; 0 for never. */
+    /** From its next start on, the instance loses power at that write point of its store; 0 for never. */
     public void setPowerLossPoint(int instance, int point) {
         powerLossPoints[instance] = point;
     }
 
-    /** The power of all of them goes at once. */
+    /** All instances lose power at once. */
     public void losePowerOfAll() throws InterruptedException {
         faults++;
         long at = System.nanoTime();
@@ -259,19 +272,19 @@
         }
     }
 
-    /** What lies in a place's store now, to be put back on a later day. */
+    /** Copies the current store of the instance, so that {@link #restoreDisk} can bring back this old state. */
     public void saveDisk(int instance, String savedName) throws IOException {
         Folders.copyRecursively(instanceFolder(instance).resolve("state"), folder.resolve(savedName));
     }
 
-    /** Of one that is down: the disk is of the day on which it was saved so. */
+    /** Replaces the store of an instance that is down by the copy saved under that name. */
     public void restoreDisk(int instance, String savedName) throws IOException {
         faults++;
         Folders.deleteRecursively(instanceFolder(instance).resolve("state"));
         Folders.copyRecursively(folder.resolve(savedName), instanceFolder(instance).resolve("state"));
     }
 
-    /** Of two that are down: each has the other's store. */
+    /** Exchanges the stores of two instances that are down. */
     public void swapDisks(int one, int other) throws IOException {
         faults++;
         Path aside = folder.resolve("swapping");
@@ -280,7 +293,7 @@
         Files.move(aside, instanceFolder(other).resolve("state"));
     }
 
-    /** Of one that is down: an octet in the middle of its longest log is another. */
+    /** Changes one byte within the longest log of the store of an instance that is down. */
     public void corruptDisk(int instance) throws IOException {
         faults++;
         Path longest = null;
@@ -294,8 +307,9 @@
         Files.write(longest, bytes);
     }
 
-    // What goes wrong.
+    // Fault injection.
 
+    /** Kills the process and waits for its end. */
     public void kill(int instance) throws InterruptedException {
         faults++;
         long at = System.nanoTime();
@@ -303,7 +317,7 @@
         deaths.add(new ProcessDeath(instance, at, false, false));
     }
 
-    /** Of one that is killed: its disk is gone. What it held is put aside, as found on the old machine. */
+    /** A killed instance loses its disk. The content is moved to another folder, where verification still finds it. */
     public void loseDisk(int instance) throws IOException {
         faults++;
         Path aside = folder.resolve("lost-" + ++lostDisks);
@@ -313,13 +327,13 @@
         updateLastDeath(instance, true, false);
     }
 
-    /** Of one that is killed: the last octets of its record never came to the disk. */
+    /** Cuts the last bytes from the audit log of a killed instance, as if they had never reached the disk. */
     public void tearAuditLog(int instance) throws IOException {
         faults++;
         List<Path> files = AuditSegments.filesIn(instanceFolder(instance).resolve("audit"));
         if (!files.isEmpty()) {
             try (FileChannel channel = FileChannel.open(files.get(files.size() - 1), StandardOpenOption.WRITE)) {
-                channel.truncate(Math.max(0, channel.size() - 7));
+                channel.truncate(Math.max(0, channel.size() - TORN_TAIL_BYTES));
             }
         }
         updateLastDeath(instance, false, true);
@@ -334,6 +348,7 @@
         }
     }
 
+    /** Sends a signal to the process; STOP and CONT suspend and resume it. */
     public void signal(int instance, String name) throws IOException, InterruptedException {
         faults += name.equals("STOP") ? 1 : 0;
         if (name.equals("STOP")) {
@@ -344,7 +359,7 @@
         new ProcessBuilder("kill", "-" + name, Long.toString(processes[instance].pid())).start().waitFor();
     }
 
-    /** Two parts that hear each other no more, or hear all again. */
+    /** Separates the instances of the bit mask {@code members} from all others, or connects them again. */
     public void setPartition(int members, boolean enabled) {
         faults += enabled ? 1 : 0;
         for (int i = 0; i < size; i++) {
@@ -356,7 +371,10 @@
         }
     }
 
-    /** One hears and is not heard, or the reverse. */
+    /**
+     * Drops the data on the connections that the instance opened to its peers ({@code outgoing}), or that the peers
+     * opened to it.
+     */
     public void setOneWayDrop(int instance, boolean outgoing, boolean enabled) {
         faults += enabled ? 1 : 0;
         for (int j = 0; j < size; j++) {
@@ -371,6 +389,7 @@
         links[i][j].dropsFromTarget = enabled;
     }
 
+    /** Delays all data to and from the instance; 0 removes the delay. */
     public void setLinkDelay(int instance, int ms) {
         faults += ms > 0 ? 1 : 0;
         for (int j = 0; j < size; j++) {
@@ -381,6 +400,7 @@
         }
     }
 
+    /** Closes the connections that the instance opened to its peers. */
     public void closeConnections(int instance) {
         faults++;
         for (int j = 0; j < size; j++) {
@@ -390,20 +410,23 @@
         }
     }
 
+    /** Sets the offset of the instance's wall clock from the real one. */
     public void stepClock(int instance, long ms) throws IOException {
         faults += ms != 0 ? 1 : 0;
         clockOffsetsMs[instance] = ms;
         writeFaultFile(instance);
     }
 
+    /** Makes the writes of the instance fail as on a full disk, or succeed again. */
     public void setDiskFull(int instance, boolean full) throws IOException {
         faults += full ? 1 : 0;
         diskFull[instance] = full;
         writeFaultFile(instance);
     }
 
-    // What is ordered and asked.
+    // Orders and queries.
 
+    /** Sends an order to the peer port of the instance and returns the reply. */
     public JsonNode sendOrder(int instance, ObjectNode order) throws IOException {
         return DeploymentReader.JSON.readTree(PeerClient.sendOrder(loopback(peerPorts[instance]),
                 order.toString().getBytes(StandardCharsets.UTF_8)));
@@ -417,25 +440,24 @@
         return sendOrder(instance, newOrder("status"));
     }
 
-    /** False where it was refused or nobody answers. */
+    /** Publishes a version; returns false if it is rejected or the instance does not answer. */
     public boolean publish(int instance, long number, int gain) {
         return publish(instance, number, gain, "");
     }
 
-    /** The same for one program alone, by its digest. */
+    /** The same with a text, which restricts the version to one program by its digest. */
     public boolean publish(int instance, long number, int gain, String text) {
         try {
             JsonNode answer = sendOrder(instance, newOrder("publish").put("number", number).put("text", text)
-                    .put("content",
-                    settingsOf(number, gain).getBytes(StandardCharsets.UTF_8)));
-            this.lastPublished = Math.max(this.lastPublished, number);
+                    .put("content", settingsOf(number, gain).getBytes(StandardCharsets.UTF_8)));
+            lastPublished = Math.max(lastPublished, number);
             return !answer.has("error");
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** Orders a floor and does not wait for it; false where it was refused or nobody answers. */
+    /** Orders a minimum version without waiting; returns false if it is rejected or the instance does not answer. */
     public boolean orderMinVersion(int instance, long minVersion) {
         try {
             return !sendOrder(instance, newOrder("floor").put("number", minVersion)).has("error");
@@ -444,7 +466,7 @@
         }
     }
 
-    /** Orders a floor, and notes when it is confirmed to whomever answers first; false where it is not in that time. */
+    /** Orders a minimum version and records when it is confirmed; returns false if that takes longer or fails. */
     public boolean awaitMinVersion(int instance, long minVersion, int timeoutMs) throws InterruptedException {
         long end = System.nanoTime() + timeoutMs * 1_000_000L;
         try {
@@ -454,19 +476,22 @@
                     confirmedMinVersions.add(new ConfirmedMinVersion(minVersion, System.nanoTime()));
                     return true;
                 }
-                Thread.sleep(5);
+                Thread.sleep(POLL_MS);
                 status = status(instance);
             }
         } catch (IOException e) {
-            // It died under the order, which others may know of.
+            // The instance died during the order; others may already have received it.
         }
         return false;
     }
 
-    /** Milliseconds until all of them decide by it and are not shut out; throws where that does not come. */
+    /**
+     * Waits until the version is active on all instances and none is fenced, and returns how many milliseconds that
+     * took. Throws if it takes longer than the timeout.
+     */
     public long awaitVersionOnAll(long version) throws InterruptedException {
-        long began = System.nanoTime();
-        long end = began + TimeUnit.SECONDS.toNanos(AWAIT_TIMEOUT_S);
+        long startNanos = System.nanoTime();
+        long end = startNanos + TimeUnit.SECONDS.toNanos(AWAIT_TIMEOUT_S);
         for (int i = 0; i < size; i++) {
             String lastReply = "nothing";
             while (true) {
@@ -480,18 +505,20 @@
                     lastReply = String.valueOf(e.getMessage());
                 }
                 if (System.nanoTime() > end) {
-                    throw new IllegalStateException(instanceName(i) + " does not come to version " + version + ": "
+                    throw new IllegalStateException(instanceName(i) + " did not reach version " + version + ": "
                             + lastReply);
                 }
                 Thread.sleep(10);
             }
         }
-        return (System.nanoTime() - began) / 1_000_000;
+        return (System.nanoTime() - startNanos) / 1_000_000;
     }
 
     /**
-     * A change by a file on each machine and SIGHUP, as without any of this: staff's tool stands at the first place
-     * and reaches what that reaches. Milliseconds until each has read it; -1 for whom it never came to.
+     * Rolls out a change as a file on each machine and a SIGHUP, without versions. The operators' tool runs beside the
+     * first instance and reaches the machines that this one reaches.
+     *
+     * @return for each instance the milliseconds until it had read the file; -1 if it did not within the timeout
      */
     public long[] measureFileRollout(int timeoutMs) throws IOException, InterruptedException {
         long[] durationsMs = new long[size];
@@ -500,53 +527,54 @@
         for (int i = 0; i < size; i++) {
             reloadsBefore[i] = countReloads(i);
         }
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         for (int i = 0; i < size; i++) {
             if (processes[i].isAlive() && (i == 0 || !links[0][i].dropsToTarget)) {
                 writeConfig(i);
                 new ProcessBuilder("kill", "-HUP", Long.toString(processes[i].pid())).start().waitFor();
             }
         }
-        long end = began + timeoutMs * 1_000_000L;
+        long end = startNanos + timeoutMs * 1_000_000L;
         while (System.nanoTime() < end && Arrays.stream(durationsMs).anyMatch(each -> each < 0)) {
             for (int i = 0; i < size; i++) {
                 if (durationsMs[i] < 0 && countReloads(i) > reloadsBefore[i]) {
-                    durationsMs[i] = (System.nanoTime() - began) / 1_000_000;
+                    durationsMs[i] = (System.nanoTime() - startNanos) / 1_000_000;
                 }
             }
-            Thread.sleep(5);
+            Thread.sleep(POLL_MS);
         }
         return durationsMs;
     }
 
-    /** Milliseconds until each decides by that version; -1 for whom it did not come to in time. */
+    /** Returns for each instance the milliseconds until the version was active; -1 if it was not within the timeout. */
     public long[] measureVersionRollout(long version, int timeoutMs) throws InterruptedException {
         long[] durationsMs = new long[size];
         Arrays.fill(durationsMs, -1);
-        long began = System.nanoTime();
-        long end = began + timeoutMs * 1_000_000L;
+        long startNanos = System.nanoTime();
+        long end = startNanos + timeoutMs * 1_000_000L;
         while (System.nanoTime() < end && Arrays.stream(durationsMs).anyMatch(each -> each < 0)) {
             for (int i = 0; i < size; i++) {
                 try {
-                    // One that stands still would not answer either.
-                    if (durationsMs[i] < 0 && !stoppedAt.containsKey(i) && status(i).path("taken").asLong()
-                            >= version) {
-                        durationsMs[i] = (System.nanoTime() - began) / 1_000_000;
+                    // A stopped process would not answer either.
+                    if (durationsMs[i] < 0 && !stoppedAt.containsKey(i)
+                            && status(i).path("taken").asLong() >= version) {
+                        durationsMs[i] = (System.nanoTime() - startNanos) / 1_000_000;
                     }
                 } catch (IOException e) {
-                    // It is not up.
+                    // The instance is not up.
                 }
             }
-            Thread.sleep(5);
+            Thread.sleep(POLL_MS);
         }
         return durationsMs;
     }
 
+    /** Counts the reloads of the configuration in the log of the instance. */
     private int countReloads(int instance) throws IOException {
         return readLog(instance).split("configuration read again", -1).length - 1;
     }
 
-    /** Until all of them are up and not shut out; throws where that does not come. */
+    /** Waits until all instances are up and none is fenced. Throws if it takes longer than the timeout. */
     public void awaitServing() throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(AWAIT_TIMEOUT_S);
         String notServing = "";
@@ -565,10 +593,10 @@
             }
             Thread.sleep(50);
         }
-        throw new IllegalStateException("not all serve again:" + notServing);
+        throw new IllegalStateException("not all instances serve again:" + notServing);
     }
 
-    /** Something that is waited for while the play goes on; over when the rig ends. */
+    /** Runs a task that waits for something while the scenario goes on; it is awaited when the rig shuts down. */
     void runInBackground(BackgroundTask task) {
         Thread thread = LoopbackServers.daemonThread("beside", () -> {
             try {
@@ -585,9 +613,9 @@
         void run(AuditTestRig rig) throws InterruptedException;
     }
 
-    // Load.
+    // Load generation.
 
-    /** One stub for each instance, one exchange after the other, so many a second. */
+    /** Starts one stub for each instance, which sends one exchange after the other at that rate at most. */
     public void startLoad(int perSecond) {
         loadRunning = true;
         for (int i = 0; i < size; i++) {
@@ -604,9 +632,9 @@
         int stream = 0;
         while (loadRunning) {
             try (Socket socket = new Socket()) {
-                socket.connect(loopback(ports[instance]), 500);
+                socket.connect(loopback(ports[instance]), CONNECT_TIMEOUT_MS);
                 socket.setTcpNoDelay(true);
-                socket.setSoTimeout(3_000);
+                socket.setSoTimeout(ANSWER_TIMEOUT_MS);
                 DataInputStream in = new DataInputStream(socket.getInputStream());
                 while (loadRunning) {
                     long id = stubRandom.nextLong();
@@ -615,8 +643,7 @@
                             StubFrames.payload(new byte[] {1}, "method", mutating ? "note" : "look", "rid",
                             String.format("%016x", id), "t0", Long.toString(System.currentTimeMillis()
                             + clockOffsetsMs[instance] - ARRIVAL_STAMP_AGE_MS), "peer", Integer.toString(instance),
-                            "acct", "acme",
-                            "mem", "1.0", "prio", "0.5")));
+                            "acct", "acme", "mem", "1.0", "prio", "0.5")));
                     StubFrames.Frame frame = StubFrames.read(in);
                     while (frame != null && frame.type() == StubFrames.GO_AWAY) {
                         frame = StubFrames.read(in);
@@ -629,9 +656,9 @@
                     Thread.sleep(1_000 / perSecond);
                 }
             } catch (IOException e) {
-                // The instance is gone, or stands still: another connection is tried.
+                // The instance is down or stopped: retry with a new connection.
                 try {
-                    Thread.sleep(20);
+                    Thread.sleep(RECONNECT_DELAY_MS);
                 } catch (InterruptedException again) {
                     return;
                 }
@@ -641,11 +668,11 @@
         }
     }
 
-    /** The stubs stop, then all instances end in their order; 0 for each where all is well. */
+    /** Stops the load, drains all instances and returns their exit codes; -1 for one that did not exit in time. */
     public int[] shutDownAll() throws InterruptedException {
         loadRunning = false;
         for (Thread each : backgroundThreads) {
-            each.join(5_000);
+            each.join(THREAD_JOIN_MS);
         }
         int[] codes = new int[size];
         for (Process each : processes) {
@@ -665,7 +692,7 @@
         return Files.readString(instanceFolder(instance).resolve("log"));
     }
 
-    /** Where the records are, those of lost disks too. */
+    /** The folders with the audit logs, including those of lost disks. */
     public List<Path> auditFolders() {
         return List.of(folder);
     }
--- a/lab/src/main/java/vetchrill/standin/EmulatedMachine.java
+++ b/lab/src/main/java/vetchrill/standin/EmulatedMachine.java
@@ -6,8 +6,15 @@
 import vetchrill.fleet.Fleet.MachineKind;
 import vetchrill.model.SharedCores;
 
-/** The cores of one relay's machine in real time: work takes as long as it would there, with nothing computed. */
+/**
+ * Emulates the cores of an instance's machine in real time: a job completes after as long as it would take there, but
+ * nothing is computed. Times are in tenths of a millisecond.
+ */
 final class EmulatedMachine implements Closeable {
+    private static final long NANOS_PER_TENTH_MS = 100_000;
+    private static final long IDLE_WAIT_NANOS = 1_000_000_000L;
+    private static final double MIN_CORE_TIME_TENTHS_MS = 0.1;
+
     private static final class PendingJob extends SharedCores.Job {
         final Runnable onComplete;
 
@@ -35,10 +42,10 @@
     }
 
     private static long now() {
-        return System.nanoTime() / 100_000;
+        return System.nanoTime() / NANOS_PER_TENTH_MS;
     }
 
-    /** From nothing: what it was at is forgotten. */
+    /** Discards all jobs and starts again, cold or warm. */
     void restart(boolean cold) {
         lock.lock();
         try {
@@ -61,6 +68,7 @@
         return kind.speed() * warmUpRatio / slowdown;
     }
 
+    /** Divides the speed of the cores by {@code factor}. */
     void setSlowdown(double factor) {
         lock.lock();
         try {
@@ -72,18 +80,18 @@
         }
     }
 
-    /** {@code then} is called on the machine's thread once it has got so much core time, in tenths of a millisecond. */
+    /** Calls {@code onComplete} on the machine's thread once the job has received {@code coreTime}. */
     void execute(double coreTime, Runnable onComplete) {
         lock.lock();
         try {
-            cores.add(new PendingJob(onComplete), Math.max(0.1, coreTime), now());
+            cores.add(new PendingJob(onComplete), Math.max(MIN_CORE_TIME_TENTHS_MS, coreTime), now());
             stateChanged.signal();
         } finally {
             lock.unlock();
         }
     }
 
-    /** The cpu share since it was asked last, and the jobs that want a core. */
+    /** Returns the CPU utilization since the last call and the number of jobs that run or wait for a core. */
     double[] sampleGauges() {
         lock.lock();
         try {
@@ -115,8 +123,8 @@
                             break;
                         }
                         long nextFinish = cores.nextEnd(now);
-                        long waitNanos = nextFinish == Long.MAX_VALUE ? 1_000_000_000L
-                                : nextFinish * 100_000 - System.nanoTime();
+                        long waitNanos = nextFinish == Long.MAX_VALUE ? IDLE_WAIT_NANOS
+                                : nextFinish * NANOS_PER_TENTH_MS - System.nanoTime();
                         if (waitNanos > 0) {
                             stateChanged.awaitNanos(waitNanos);
                         }
--- a/lab/src/main/java/vetchrill/standin/FakeInterpreter.java
+++ b/lab/src/main/java/vetchrill/standin/FakeInterpreter.java
@@ -11,23 +11,25 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 
 /**
- * The interpreter's side of its link: it takes commands, numbers notices and keeps the last of them for whoever
- * connects again. How work is done is left to whoever makes it.
+ * A fake interpreter on a loopback port. It reads commands from its link, numbers its notices and retains the last of
+ * them, so that it can resend them to an instance that reconnects. A {@link CommandHandler} runs the work.
  */
 public final class FakeInterpreter implements Closeable {
-    /** Called on the link's thread. */
+    /** Handles the commands of the link, on the link's thread. */
     public interface CommandHandler {
+        /** Starts a run; {@link #sendValue} reports its end. */
         void apply(String id, String group, byte[] body) throws IOException;
 
-        /** The gauges as words between blanks; null to leave the question unanswered. */
+        /** Returns the gauges, separated by spaces, or null to send no reply. */
         String gauges();
 
         /**
-         * A link was opened by someone who has read the notices up to {@code lastRead}; false to withhold the
-         * banner.
+         * Called when an instance that has read the notices up to {@code lastRead} opens a link. Returns false to send
+         * no banner.
          */
         default boolean onConnect(int lastRead) {
             return true;
@@ -35,24 +37,25 @@
     }
 
     private static final int MAX_RETAINED_NOTICES = 4_000;
+    private static final long AGE_OF_OLD_INTERPRETER_NANOS = 60_000_000_000L;
 
     private record Notice(int number, byte[] bytes) {
     }
 
     private final ServerSocket server;
     private final CommandHandler handler;
-    /** A fresh one starts when it first speaks: until then it is not up. */
+    /** 0 for a newly started interpreter that has sent no banner yet: its uptime counts from the first banner. */
     private long startedNanos;
     private volatile boolean newlyStarted;
     private volatile Socket link;
     private int lastNoticeNumber;
     private final ArrayDeque<Notice> retainedNotices = new ArrayDeque<>();
 
-    /** {@code fresh} is told as a start of just now, else it has run for a minute. */
+    /** The banner reports a start of just now if {@code newlyStarted}, or else an uptime of one minute and more. */
     public FakeInterpreter(CommandHandler handler, boolean newlyStarted) throws IOException {
         this.handler = handler;
         this.newlyStarted = newlyStarted;
-        startedNanos = newlyStarted ? 0 : System.nanoTime() - 60_000_000_000L;
+        startedNanos = newlyStarted ? 0 : System.nanoTime() - AGE_OF_OLD_INTERPRETER_NANOS;
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         LoopbackServers.acceptConnections(server, this::serveLink);
     }
@@ -69,7 +72,7 @@
             switch (words[0]) {
                 case "APPLY" -> {
                     byte[] body = in.readNBytes(Integer.parseInt(words[3]) + 2);
-                    handler.apply(words[1], words[2], java.util.Arrays.copyOf(body, body.length - 2));
+                    handler.apply(words[1], words[2], Arrays.copyOf(body, body.length - 2));
                 }
                 case "TOP" -> {
                     String gauges = handler.gauges();
@@ -94,7 +97,7 @@
         return server.getLocalPort();
     }
 
-    /** The same interpreter at another address: its notices and their numbers carry on. */
+    /** Returns an interpreter on another port that continues with the retained notices and numbers of this one. */
     public synchronized FakeInterpreter copyAtNewPort(CommandHandler handler) throws IOException {
         FakeInterpreter copy = new FakeInterpreter(handler, newlyStarted);
         synchronized (copy) {
@@ -104,6 +107,7 @@
         return copy;
     }
 
+    /** Sends the banner and all retained notices with a number above {@code lastRead}. */
     public synchronized void sendBanner(int lastRead) throws IOException {
         startedNanos = startedNanos == 0 ? System.nanoTime() : startedNanos;
         write("BANNER " + (newlyStarted ? "new " : "old ") + (System.nanoTime() - startedNanos) / 1_000_000 + "\r\n");
@@ -115,7 +119,11 @@
         }
     }
 
-    /** Tells how a run ended, after {@code took} tenths of a millisecond; kept while there is no link. */
+    /**
+     * Sends the notice that a run ended, and retains it for the next link.
+     *
+     * @param duration of the run, in tenths of a millisecond
+     */
     public synchronized void sendValue(String id, String status, long duration, byte[] result) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(result.length + 64);
         bytes.writeBytes(("VALUE " + ++lastNoticeNumber + " " + id + " " + status + " " + duration / 10 + "."
@@ -132,7 +140,7 @@
                 write(bytes.toByteArray());
             }
         } catch (IOException e) {
-            // It is kept for the next link.
+            // The notice is retained and sent on the next link.
         }
     }
 
@@ -144,7 +152,7 @@
         link.getOutputStream().write(bytes);
     }
 
-    /** Closes the link of now; another may be opened. */
+    /** Closes the current link; the instance may open another. */
     public void closeLink() throws IOException {
         if (link != null) {
             link.close();
--- a/lab/src/main/java/vetchrill/standin/FakeMembershipService.java
+++ b/lab/src/main/java/vetchrill/standin/FakeMembershipService.java
@@ -9,9 +9,9 @@
 import java.nio.charset.StandardCharsets;
 import vetchrill.transport.Resources;
 
-/** The membership service: it takes reports and answers them with a status that may be changed; 0 for no answer. */
+/** A fake membership service on a loopback port: it passes reports to a listener and answers with a set status. */
 public final class FakeMembershipService implements Closeable {
-    /** Called on the thread of the connection; {@code up} is null for a call that is no report. */
+    /** Receives each request on the thread of its connection; {@code up} is null if the request is no report. */
     public interface ReportListener {
         void onReport(String name, Boolean up, String requestLine);
     }
@@ -19,28 +19,29 @@
     private static final String REPORT_PREFIX = "PUT /members/";
 
     private final ServerSocket server;
+    /** The HTTP status of the responses; 0 to send none. */
     public volatile int status = 204;
-    /** Milliseconds between any two bytes of an answer; 0 for all at once. */
+    /** Pause after each byte of a response, in milliseconds; 0 sends the whole response at once. */
     public volatile int byteDelayMs;
 
     public FakeMembershipService(ReportListener listener) throws IOException {
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         LoopbackServers.acceptConnections(server, socket -> {
             InputStream in = new BufferedInputStream(socket.getInputStream());
-            for (String requestLine = LoopbackServers.readLine(in); requestLine
-                    != null; requestLine = LoopbackServers.readLine(in)) {
+            for (String requestLine = LoopbackServers.readLine(in); requestLine != null;
+                    requestLine = LoopbackServers.readLine(in)) {
                 int contentLength = 0;
-                for (String header = LoopbackServers.readLine(in); header != null
-                        && !header.isEmpty(); header = LoopbackServers.readLine(in)) {
+                for (String header = LoopbackServers.readLine(in); header != null && !header.isEmpty();
+                        header = LoopbackServers.readLine(in)) {
                     if (header.startsWith("Content-Length: ")) {
                         contentLength = Integer.parseInt(header.substring(16));
                     }
                 }
-                String phase = new String(in.readNBytes(contentLength), StandardCharsets.UTF_8).replaceAll("\\W|phase",
-                        "");
+                String phase = new String(in.readNBytes(contentLength), StandardCharsets.UTF_8)
+                        .replaceAll("\\W|phase", "");
                 boolean isReport = requestLine.startsWith(REPORT_PREFIX) && requestLine.endsWith(" HTTP/1.1");
-                listener.onReport(isReport ? requestLine.substring(REPORT_PREFIX.length(), requestLine.length() - 9)
-                        : "",
+                listener.onReport(
+                        isReport ? requestLine.substring(REPORT_PREFIX.length(), requestLine.length() - 9) : "",
                         !isReport ? null : Boolean.valueOf(phase.equals("UP")), requestLine);
                 if (status != 0) {
                     byte[] response = ("HTTP/1.1 " + status + " Told\r\nContent-Length: 0\r\n\r\n")
--- a/lab/src/main/java/vetchrill/standin/FleetTestRig.java
+++ b/lab/src/main/java/vetchrill/standin/FleetTestRig.java
@@ -1,5 +1,6 @@
 package vetchrill.standin;
 
+import java.io.BufferedInputStream;
 import java.io.Closeable;
 import java.io.DataInputStream;
 import java.io.IOException;
@@ -9,6 +10,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -22,39 +24,48 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.Recorder;
-import vetchrill.fleet.Fleet;
-import vetchrill.fleet.Fleet.StubPool;
 import vetchrill.fleet.Fault;
+import vetchrill.fleet.Fleet.StubPool;
+import vetchrill.fleet.Fleet;
 import vetchrill.model.ClientRequest;
-import vetchrill.model.StubPolicy;
-import vetchrill.model.Workload;
 import vetchrill.model.ClientStub;
 import vetchrill.model.ServiceStatistics;
+import vetchrill.model.StubPolicy;
+import vetchrill.model.Workload;
 
 /**
- * A small fleet in real time: real instances as processes on loopback, with this project's interpreter, membership
- * service and client stubs. It is open loop: first tries are drawn ahead and go out at their times whatever has
- * become of those before them. One thread owns all that the stubs know; it says so when it was late itself.
+ * Runs a small fleet in real time: real instance processes on loopback, with fake interpreters, a fake membership
+ * service and client stubs. The load is open loop: the times of first attempts are drawn in advance, and an attempt is
+ * sent at its time whatever has become of the earlier ones. One thread owns the state of all stubs; it measures its own
+ * lateness. Times are in tenths of a millisecond since the start of the load.
  */
 public final class FleetTestRig implements Closeable {
-    /** First tries later than this at the 99th percentile make a run void, in tenths of a millisecond. */
+    /** A run is invalid if the 99th percentile of the lateness of first attempts is above this. */
     private static final long MAX_LATENESS_TENTHS_MS = 250;
     private static final long MAX_READING_TENTHS_MS = 150_000;
+    /** How long the run goes on after the last attempt may have timed out. */
+    private static final long FINISH_GRACE_TENTHS_MS = 1_000;
+    private static final long SILENCE_CHECK_PERIOD_TENTHS_MS = 500;
+    private static final long NANOS_PER_TENTH_MS = 100_000;
     private static final int MAX_OPEN_ATTEMPTS_PER_CONNECTION = 32;
+    private static final int CONNECT_TIMEOUT_MS = 200;
     private static final int START_TIMEOUT_S = 60;
+    private static final int SETTLE_MS = 500;
+    private static final int EXIT_GRACE_MS = 5_000;
 
-    /** What the load's own side knows of a try that came to a relay; the planner never sees it. */
+    /** An attempt that arrived at an instance, as the load generator knows it; the planner never sees it. */
     public record AttemptArrival(int instance, int stub, long stampMs, int bodyBytes, float sizeKb,
             boolean firstAttempt) {
     }
 
+    /** One attempt of a stub, bound to the incarnation of the instance that it was sent to. */
     private static final class Attempt {
         final ClientRequest request;
         final LoadStub stub;
         final InstanceProcess instance;
         final int incarnation;
         final String id;
-        /** What the interpreter was told of it; null before it has come to its machine. */
+        /** What the fake interpreter knows of it; null until the attempt has arrived at the machine. */
         InstanceProcess.ExpectedExchange expected;
         boolean ended;
 
@@ -72,15 +83,16 @@
         final byte[] body;
 
         GeneratedRequest(int group, int customer, long subject, double sizeKb, int bodyBytes, long receivedAt,
-                long deadline, double coreTime,
-                byte[] body) {
+                long deadline, double coreTime, byte[] body) {
             super(group, customer, subject, sizeKb, bodyBytes, receivedAt, deadline);
             this.coreTime = coreTime;
             this.body = body;
         }
     }
 
+    /** A client stub that sends its attempts to the real instances. */
     private final class LoadStub extends ClientStub {
+        /** The open connections, by the number of the instance. */
         final List<List<StubConnection>> connections = new ArrayList<>();
 
         LoadStub(StubPool pool, int number, StubPolicy policy) {
@@ -146,14 +158,17 @@
     private final FakeMembershipService membership;
     private final List<InstanceProcess> instances = new ArrayList<>();
     private final List<LoadStub> stubs = new ArrayList<>();
+    /** By the number of the instance, whether the directory lists it. */
     private final boolean[] listed;
-    /** Nothing is reported here: a stub that goes by reports chooses by chance. */
+    /** Instances report no queue lengths here: a stub that goes by them chooses at random. */
     private final int[] reportedQueues;
     private final long[] lastReportAt;
+    /** The state that each instance reported last; null before its first report. */
     private final Boolean[] reportedUp;
     private final CountDownLatch allUp;
-    /** Gone with their zone, until that is back. */
+    /** Instances that a fault keeps down: a rolling restart must not start them. */
     private final Set<InstanceProcess> downWithZone = new HashSet<>();
+    /** Attempts that arrived at a machine and are not yet forwarded to its instance. */
     private final Set<Attempt> pendingReads = new HashSet<>();
     private final List<AttemptArrival> arrivals = new ArrayList<>();
     private final Histogram lateness = new Histogram(3);
@@ -162,17 +177,19 @@
     private long loadStartNanos;
     private final ServiceStatistics statistics;
     private int wrongResults;
-    /** As many as {@link #pendingReads} has, for other threads. */
+    /** The size of {@link #pendingReads}, for other threads. */
     private volatile int pendingReadCount;
     private volatile boolean stopping;
     private volatile boolean loadStarted;
     private volatile Exception failure;
-    /** Whoever is stopped in the middle leaves no process behind. */
+    /** Leaves no process behind if this one is terminated during a run. */
     private final Thread killHook = new Thread(this::killAll);
 
     /**
-     * {@code flush}: the instances write captures into a folder below {@code folder}, each row so many milliseconds
-     * late at most; 0 for no captures.
+     * Creates a rig whose load lasts for {@code duration}.
+     *
+     * @param folder for configurations, logs and captures
+     * @param captureFlushMs the longest time until the instances write a row of their captures; 0 for no captures
      */
     public FleetTestRig(Fleet fleet, Workload workload, long duration, long seed, Path folder, int captureFlushMs)
             throws IOException {
@@ -192,8 +209,7 @@
         membership = new FakeMembershipService(this::onReport);
         for (Fleet.InstancePlacement place : fleet.placements()) {
             instances.add(new InstanceProcess(fleet, folder, membership.port(), captureFlushMs, instances.size(),
-                    place.zone(), place.kind(),
-                    seed));
+                    place.zone(), place.kind(), seed));
         }
         StubPolicy.InstanceDirectory directory = StubPolicy.InstanceDirectory.of(listed);
         for (StubPool pool : fleet.pools) {
@@ -205,12 +221,13 @@
     }
 
     private long now() {
-        return (System.nanoTime() - loadStartNanos) / 100_000;
+        return (System.nanoTime() - loadStartNanos) / NANOS_PER_TENTH_MS;
     }
 
+    /** Runs the action on the event loop at the given time. */
     private void schedule(long time, Runnable action) {
-        eventLoop.schedule(() -> runGuarded(action), Math.max(0, loadStartNanos + time * 100_000 - System.nanoTime()),
-                TimeUnit.NANOSECONDS);
+        eventLoop.schedule(() -> runGuarded(action),
+                Math.max(0, loadStartNanos + time * NANOS_PER_TENTH_MS - System.nanoTime()), TimeUnit.NANOSECONDS);
     }
 
     private void runOnLoop(Runnable action) {
@@ -219,7 +236,7 @@
         }
     }
 
-    /** An executor swallows what its tasks throw: a rig that has failed must say so. */
+    /** Records the failure of an action, which the executor would discard, so that {@link #finish} can report it. */
     private void runGuarded(Runnable action) {
         try {
             action.run();
@@ -228,12 +245,12 @@
         }
     }
 
-    /** Plays the whole span and ends all instances in their order. */
+    /** Starts the instances, runs the load for its whole duration and shuts the instances down. */
     public RigResult run() throws IOException, InterruptedException {
         start();
         startLoad();
-        long end = duration + fleet.longestTimeout() + 1_000;
-        // What has come to a machine is read before the end, however long that takes a swamped one.
+        long end = duration + fleet.longestTimeout() + FINISH_GRACE_TENTHS_MS;
+        // Attempts that have arrived are still read, even if that takes an overloaded machine long.
         while (now() < end || pendingReadCount > 0 && now() < end + MAX_READING_TENTHS_MS) {
             Thread.sleep(20);
         }
@@ -249,18 +266,18 @@
         for (int tenths = 0; !allUp.await(100, TimeUnit.MILLISECONDS); tenths++) {
             boolean dead = instances.stream().anyMatch(instance -> !instance.isUp());
             if (dead || tenths > 10 * START_TIMEOUT_S) {
-                throw new IOException((dead ? "an instance ended at its start" : "not all instances came up in "
+                throw new IOException((dead ? "an instance exited during startup" : "not all instances were up after "
                         + START_TIMEOUT_S + " s") + "; see the logs in " + folder);
             }
         }
-        // They have just reported: let what they still do for the start pass.
-        Thread.sleep(500);
+        // The instances have only just reported: let the rest of their startup pass.
+        Thread.sleep(SETTLE_MS);
     }
 
-    /** From now on the load runs. */
+    /** Starts the load and schedules the faults; time 0 is now. */
     public void startLoad() {
         loadStartNanos = System.nanoTime();
-        java.util.Arrays.fill(listed, true);
+        Arrays.fill(listed, true);
         loadStarted = true;
         for (Fault fault : fleet.faults) {
             scheduleFault(fault);
@@ -270,20 +287,22 @@
         schedule(0, this::delistSilentInstances);
     }
 
-    /** Of the load while it runs: what was asked for and what became of it. */
+    /** The requests and their outcomes; it is updated while the load runs. */
     public ServiceStatistics statistics() {
         return statistics;
     }
 
-    /** From the intended time of each first try to its completion, in tenths of a millisecond, since the last call. */
+    /** The times from the intended start of each request to its completion, since the last call. */
     public Histogram latency() {
         return latency.getIntervalHistogram();
     }
 
+    /** The time since the start of the load; 0 before it. */
     public long elapsed() {
         return loadStarted ? now() : 0;
     }
 
+    /** Shuts the instances down and returns the result. Throws if an action of the rig has failed. */
     public RigResult finish() throws IOException, InterruptedException {
         stopping = true;
         for (InstanceProcess instance : instances) {
@@ -291,7 +310,7 @@
         }
         for (InstanceProcess instance : instances) {
             if (instance.process != null) {
-                instance.process.waitFor(fleet.rules.stopTimeout() / 10 + 5_000, TimeUnit.MILLISECONDS);
+                instance.process.waitFor(fleet.rules.stopTimeout() / 10 + EXIT_GRACE_MS, TimeUnit.MILLISECONDS);
             }
         }
         int duplicateRuns = 0;
@@ -302,24 +321,24 @@
         }
         close();
         if (failure != null) {
-            throw new IOException("the rig failed: " + failure, failure);
+            throw new IOException("the test rig failed: " + failure, failure);
         }
         return new RigResult(statistics, List.copyOf(arrivals), folder.resolve("captures"),
                 lateness.getTotalCount() == 0 ? 0 : lateness.getValueAtPercentile(99),
                 lateness.getTotalCount() > 0 && lateness.getValueAtPercentile(99) > MAX_LATENESS_TENTHS_MS,
-                wrongResults, duplicateRuns,
-                        corruptedBodies);
+                wrongResults, duplicateRuns, corruptedBodies);
     }
 
-    // The load.
+    // Load generation.
 
+    /** Draws the time of the next request by thinning a Poisson process of the peak rate. */
     private void scheduleNextRequest(long from, SplittableRandom loadRandom) {
         double peakRate = workload.peakRate() * Math.max(1, maxBurst());
         double next = from;
         do {
             next -= Math.log(1 - loadRandom.nextDouble()) / peakRate;
-        } while (next < duration && loadRandom.nextDouble() * peakRate > workload.rate((long) next)
-                * burstAt((long) next));
+        } while (next < duration
+                && loadRandom.nextDouble() * peakRate > workload.rate((long) next) * burstAt((long) next));
         long time = (long) Math.ceil(next);
         if (time < duration && !stopping) {
             schedule(time, () -> {
@@ -338,13 +357,13 @@
     }
 
     private double burstAt(long time) {
-        double size = 1;
+        double factor = 1;
         for (Fault fault : fleet.faults) {
             if (fault instanceof Fault.Burst each && time >= each.from() && time < each.until()) {
-                size = each.rateFactor();
+                factor = each.rateFactor();
             }
         }
-        return size;
+        return factor;
     }
 
     private void sendRequest(long time, SplittableRandom loadRandom) {
@@ -355,8 +374,8 @@
             body[i] = (byte) loadRandom.nextInt();
         }
         GeneratedRequest request = new GeneratedRequest(group, workload.customer(loadRandom),
-                workload.subject(loadRandom), Math.round(workload.sizeKb(group, loadRandom)
-                * 1_000) / 1_000.0, body.length, time, time + fleet.groups.get(group).asyncTimeout(),
+                workload.subject(loadRandom), Math.round(workload.sizeKb(group, loadRandom) * 1_000) / 1_000.0,
+                body.length, time, time + fleet.groups.get(group).asyncTimeout(),
                 workload.coreTime(group, loadRandom), body);
         statistics.onRequest(request);
         stubs.get(loadRandom.nextInt(stubs.size())).send(request, now());
@@ -366,7 +385,7 @@
         return stub.zone == instance.zone ? fleet.network.withinZone() : fleet.network.acrossZones();
     }
 
-    /** It has come to the machine, which reads it before the instance gets it. */
+    /** The attempt has arrived at the machine, which spends core time on reading it before the instance receives it. */
     private void onArrival(Attempt attempt) {
         InstanceProcess instance = attempt.instance;
         if (!instance.isUp() || attempt.incarnation != instance.incarnation) {
@@ -407,6 +426,7 @@
         }
     }
 
+    /** Returns a connection with a free stream, and opens one if there is none. */
     private StubConnection connectionTo(LoadStub stub, InstanceProcess instance) throws IOException {
         List<StubConnection> connections = stub.connections.get(instance.number);
         for (StubConnection connection : connections) {
@@ -416,7 +436,7 @@
         }
         Socket socket = new Socket();
         socket.setTcpNoDelay(true);
-        socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), instance.port), 200);
+        socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), instance.port), CONNECT_TIMEOUT_MS);
         StubConnection connection = new StubConnection(socket);
         connections.add(connection);
         LoopbackServers.daemonThread("answers", () -> readFrames(stub, instance, connection)).start();
@@ -425,13 +445,13 @@
 
     private void readFrames(LoadStub stub, InstanceProcess instance, StubConnection connection) {
         try (DataInputStream in = new DataInputStream(
-                new java.io.BufferedInputStream(connection.socket.getInputStream()))) {
+                new BufferedInputStream(connection.socket.getInputStream()))) {
             for (StubFrames.Frame frame = StubFrames.read(in); frame != null; frame = StubFrames.read(in)) {
                 StubFrames.Frame received = frame;
                 runOnLoop(() -> onFrame(connection, received));
             }
         } catch (IOException e) {
-            // The end of it, as any other.
+            // Handled like the end of the connection.
         }
         runOnLoop(() -> {
             stub.connections.get(instance.number).remove(connection);
@@ -450,7 +470,7 @@
             Attempt attempt = connection.openAttempts.remove(frame.stream());
             if (attempt != null) {
                 boolean completed = frame.code() == StubFrames.COMPLETED;
-                if (completed && !java.util.Arrays.equals(frame.body(), InstanceProcess.resultOf(attempt.id))) {
+                if (completed && !Arrays.equals(frame.body(), InstanceProcess.resultOf(attempt.id))) {
                     wrongResults++;
                 }
                 scheduleAnswer(attempt, completed ? ClientRequest.Answer.COMPLETED : frame.code() == StubFrames.DENIED
@@ -463,18 +483,18 @@
             try {
                 connection.socket.close();
             } catch (IOException e) {
-                // It is given up either way.
+                // The connection is not used any more either way.
             }
         }
     }
 
-    /** On its way back to the stub. */
+    /** Delivers the answer to the stub after the network delay. */
     private void scheduleAnswer(Attempt attempt, ClientRequest.Answer answer, long retryAfter, boolean doNotRetry) {
         schedule(now() + networkDelay(attempt.stub, attempt.instance),
                 () -> attempt.stub.onAnswer(attempt, answer, retryAfter, doNotRetry));
     }
 
-    // The roster.
+    // The directory of instances.
 
     private void onReport(String name, Boolean isUp, String requestLine) {
         int number = isUp == null || !name.startsWith("r") ? -1 : Integer.parseInt(name.substring(1)) - 1;
@@ -501,7 +521,7 @@
         });
     }
 
-    /** Whoever has not been heard of for as long is taken off the list. */
+    /** Removes from the directory the instances that have sent no report for the silence timeout. */
     private void delistSilentInstances() {
         long now = now();
         for (int i = 0; i < listed.length; i++) {
@@ -511,11 +531,11 @@
             }
         }
         if (!stopping) {
-            schedule(now + 500, this::delistSilentInstances);
+            schedule(now + SILENCE_CHECK_PERIOD_TENTHS_MS, this::delistSilentInstances);
         }
     }
 
-    // What goes wrong.
+    // Fault injection.
 
     private void scheduleFault(Fault fault) {
         if (fault instanceof Fault.Slowdown each) {
@@ -536,7 +556,7 @@
         }
     }
 
-    /** One stub loses its connections to one relay, whose interpreter loses its link in the same moment. */
+    /** Resets the connections of one stub to one instance and closes the link of that instance's interpreter. */
     private void resetConnections(Fault.ConnectionReset fault, SplittableRandom resetRandom) {
         if (now() >= fault.until() || stopping) {
             return;
@@ -555,6 +575,7 @@
         schedule(now() + fault.period(), () -> resetConnections(fault, resetRandom));
     }
 
+    /** Draws that share of the instances at random. */
     private List<InstanceProcess> drawInstances(double share) {
         List<InstanceProcess> remaining = new ArrayList<>(instances);
         List<InstanceProcess> drawn = new ArrayList<>();
@@ -571,7 +592,7 @@
             affected.forEach(this::kill);
         });
         if (until < Long.MAX_VALUE) {
-            // It is back when it is up, which takes it a while.
+            // The fault ends when the instances are up again, so that they are started earlier by their start time.
             schedule(until - fleet.deploy.startTime(), () -> {
                 affected.forEach(downWithZone::remove);
                 affected.forEach(this::restart);
@@ -588,7 +609,7 @@
         abortPendingReads(instance);
     }
 
-    /** What the machine was still reading ends with it. */
+    /** Resets the attempts that the machine was still reading when its instance ended. */
     private void abortPendingReads(InstanceProcess instance) {
         for (Attempt attempt : List.copyOf(pendingReads)) {
             if (attempt.instance == instance) {
@@ -649,7 +670,7 @@
         try {
             Runtime.getRuntime().removeShutdownHook(killHook);
         } catch (IllegalStateException e) {
-            // The whole process is ending: the hook does its part.
+            // The JVM is already shutting down: the hook runs anyway.
         }
         eventLoop.shutdownNow();
         for (LoadStub stub : stubs) {
--- a/lab/src/main/java/vetchrill/standin/InstanceProcess.java
+++ b/lab/src/main/java/vetchrill/standin/InstanceProcess.java
@@ -7,25 +7,27 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import vetchrill.fleet.DeploymentSettings;
-import vetchrill.fleet.Fleet;
 import vetchrill.fleet.Fleet.MachineKind;
+import vetchrill.fleet.Fleet;
 import vetchrill.protocol.DeploymentReader;
 
 /**
- * Where one relay stands: its machine, its interpreter, and the real instance, which may be started again and again.
+ * One instance of the fleet of a {@link FleetTestRig}: its emulated machine, its fake interpreter and the real instance
+ * process, which can be restarted.
  */
 final class InstanceProcess implements Closeable {
-    /** What the interpreter needs to know of an exchange that may come to it. */
+    /** What the fake interpreter has to know of an exchange that may be sent to it. */
     static final class ExpectedExchange {
         private final double coreTime;
         private final byte[] body;
         private final boolean mutating;
-        /** Its try has ended for its stub: nothing is started for it any more. */
+        /** The attempt has ended for its stub: no run is started for it any more. */
         volatile boolean attemptEnded;
         private boolean started;
         private boolean running;
@@ -37,10 +39,13 @@
         }
     }
 
+    private static final int EXIT_TIMEOUT_S = 5;
+    private static final long SEED_STEP_PER_INCARNATION = 977;
+
     private final Fleet fleet;
     private final Path folder;
     private final int membershipPort;
-    /** Milliseconds until what an instance records is in its file; 0 where nothing is recorded. */
+    /** Flush interval of the capture; 0 to record none. */
     private final int captureFlushMs;
     final int number;
     final int zone;
@@ -48,19 +53,18 @@
     final String name;
     final int port;
     final EmulatedMachine machine;
-    /** By id, what came or is on its way to this relay. */
+    /** The exchanges that were sent or are being sent to this instance, by id. */
     final ConcurrentHashMap<String, ExpectedExchange> expectedExchanges = new ConcurrentHashMap<>();
     volatile int duplicateRuns;
     volatile int corruptedBodies;
     private FakeInterpreter interpreter;
     volatile Process process;
-    /** Counts its processes; what belongs to an earlier one is over. */
+    /** Counts the processes of this instance, so that events of an earlier one can be ignored. */
     volatile int incarnation;
     private final long seed;
 
     InstanceProcess(Fleet fleet, Path folder, int membershipPort, int captureFlushMs, int number, int zone,
-            MachineKind kind, long seed)
-            throws IOException {
+            MachineKind kind, long seed) throws IOException {
         this.fleet = fleet;
         this.folder = folder;
         this.membershipPort = membershipPort;
@@ -74,7 +78,7 @@
         port = Ports.findFree();
     }
 
-    /** Starts a process; what it is told and what it logs stay in the rig's folder. */
+    /** Starts a process; its configuration and its log are left in the rig's folder. */
     synchronized void start(boolean cold) throws IOException {
         incarnation++;
         int thisIncarnation = incarnation;
@@ -82,7 +86,7 @@
             interpreter.close();
         }
         interpreter = new FakeInterpreter(new FakeInterpreter.CommandHandler() {
-            private boolean asked;
+            private boolean connectedBefore;
 
             @Override
             public void apply(String id, String group, byte[] body) throws IOException {
@@ -97,31 +101,29 @@
 
             @Override
             public boolean onConnect(int lastRead) {
-                if (cold && !asked) {
+                if (cold && !connectedBefore) {
                     machine.restart(true);
                 }
-                asked = true;
+                connectedBefore = true;
                 return true;
             }
         }, cold);
         ObjectNode config = DeploymentReader.JSON.createObjectNode();
         config.put("name", name).put("listen", "127.0.0.1:" + port).put("vm", "127.0.0.1:" + interpreter.port())
                 .put("members", "127.0.0.1:" + membershipPort)
-                .put("seed", String.format("%016x", seed + 977L * incarnation))
+                .put("seed", String.format("%016x", seed + SEED_STEP_PER_INCARNATION * incarnation))
                 .put("stop_ms", fleet.rules.stopTimeout() / 10);
         config.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", kind.descriptors());
         config.set("settings", DeploymentSettings.of(fleet, kind, false));
         Path configFile = folder.resolve(name + "-" + incarnation + ".json");
         Files.writeString(configFile, config.toString());
         List<String> command = new ArrayList<>(List.of(System.getProperty("java.home") + "/bin/java",
-                "-XX:+UseSerialGC",
-                "-XX:TieredStopAtLevel=1", "-Xshare:auto", "-Xms16m", "-Xmx96m",
+                "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xshare:auto", "-Xms16m", "-Xmx96m",
                 "--add-opens=java.base/java.nio=ALL-UNNAMED", "-cp", classPath()));
         if (captureFlushMs > 0) {
             Path operatorFile = folder.resolve(name + ".hcl");
             Files.writeString(operatorFile, "capture {\n  directory = \"" + folder.resolve("captures")
-                    + "\"\n  zone = \""
-                    + fleet.zones.get(zone).name() + "\"\n  kind = \"" + kind.name()
+                    + "\"\n  zone = \"" + fleet.zones.get(zone).name() + "\"\n  kind = \"" + kind.name()
                     + "\"\n  subject_key = \"000102030405060708090a0b0c0d0e0f\"\n  flush_ms = " + captureFlushMs
                     + "\n}\n");
             command.addAll(List.of("vetchrill.tool.Vetchrill", "serve", "--operator", operatorFile.toString()));
@@ -137,7 +139,7 @@
         process = builder.start();
     }
 
-    /** Tests run on the class path of their runner's own, which hides it behind a jar. */
+    /** Surefire starts tests with a jar that refers to the real class path; its property holds the latter. */
     static String classPath() {
         return System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"));
     }
@@ -149,7 +151,7 @@
             linkedInterpreter.write("ERROR APPLY " + id + "\r\n");
             return;
         }
-        if (!java.util.Arrays.equals(body, exchange.body)) {
+        if (!Arrays.equals(body, exchange.body)) {
             corruptedBodies++;
         }
         synchronized (exchange) {
@@ -178,6 +180,7 @@
         });
     }
 
+    /** The result that the fake interpreter sends for an exchange. */
     static byte[] resultOf(String id) {
         return ("result of " + id).getBytes(StandardCharsets.US_ASCII);
     }
@@ -187,7 +190,7 @@
         return current != null && current.isAlive();
     }
 
-    /** As its machine goes: with no word to anybody. */
+    /** Kills the process and its interpreter without a shutdown, as when the machine fails. */
     synchronized void kill() throws IOException {
         incarnation++;
         if (process != null) {
@@ -199,11 +202,12 @@
         machine.restart(false);
     }
 
-    /** The interpreter's link, which the instance opens again. */
+    /** Closes the link to the interpreter; the instance opens it again. */
     void closeInterpreterLink() throws IOException {
         interpreter.closeLink();
     }
 
+    /** Sends SIGTERM, on which the instance drains and exits. */
     void drain() {
         process.toHandle().destroy();
     }
@@ -215,7 +219,7 @@
         if (process != null) {
             process.destroyForcibly();
             try {
-                process.waitFor(5, TimeUnit.SECONDS);
+                process.waitFor(EXIT_TIMEOUT_S, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -225,7 +229,7 @@
         }
     }
 
-    /** Ends it in its order, so that what it recorded is whole. */
+    /** Drains the process if it runs, so that its capture is complete. */
     void shutDown() {
         if (process != null && process.isAlive()) {
             drain();
--- a/lab/src/main/java/vetchrill/standin/LinkProxy.java
+++ b/lab/src/main/java/vetchrill/standin/LinkProxy.java
@@ -10,17 +10,21 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * The way from one process to another, which can go wrong: what goes there, what comes back, each swallowed or held up
- * for a while, and all connections cut between any two bytes.
+ * A TCP proxy with fault injection between two processes: it can drop the data of either direction, delay it, and
+ * close all connections at any byte.
  */
 public final class LinkProxy implements Closeable {
+    private static final int CONNECT_TIMEOUT_MS = 2_000;
+    private static final int BUFFER_BYTES = 4 << 10;
+
     private final ServerSocket server;
     private volatile InetSocketAddress target;
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
-    /** Nothing arrives this way any more, and nobody is told: as it is with a cut cable. */
+    /** Drops data on its way to the target without closing the connections, like a cut cable. */
     public volatile boolean dropsToTarget;
+    /** The same for data that comes from the target. */
     public volatile boolean dropsFromTarget;
-    /** Milliseconds that each piece is held up, in either direction. */
+    /** Delay of each chunk of data in either direction, in milliseconds. */
     public volatile int delayMs;
 
     public LinkProxy(InetSocketAddress target) throws IOException {
@@ -28,7 +32,7 @@
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         LoopbackServers.acceptConnections(server, client -> {
             try (Socket upstream = new Socket()) {
-                upstream.connect(this.target, 2_000);
+                upstream.connect(this.target, CONNECT_TIMEOUT_MS);
                 upstream.setTcpNoDelay(true);
                 sockets.add(client);
                 sockets.add(upstream);
@@ -41,30 +45,31 @@
         });
     }
 
+    /** The address at which the proxy listens. */
     public InetSocketAddress address() {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
     }
 
     private void pump(Socket from, Socket to, boolean toTarget) {
-        byte[] buffer = new byte[4 << 10];
+        byte[] buffer = new byte[BUFFER_BYTES];
         boolean dropped = false;
         try {
-            for (int count = from.getInputStream().read(buffer); count >= 0; count = from.getInputStream()
-                    .read(buffer)) {
+            for (int count = from.getInputStream().read(buffer); count >= 0;
+                    count = from.getInputStream().read(buffer)) {
                 if (delayMs > 0) {
                     Thread.sleep(delayMs);
                 }
                 if (toTarget ? dropsToTarget : dropsFromTarget) {
                     dropped = true;
                 } else if (dropped) {
-                    // A stream with a hole in it would be another fault: it starts anew, as after a long cut.
+                    // A stream with a gap would be another fault: close the connection, as after a long outage.
                     break;
                 } else {
                     to.getOutputStream().write(buffer, 0, count);
                 }
             }
         } catch (IOException e) {
-            // One of the two is gone, and so is the other.
+            // If one of the two connections breaks, both are closed.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -73,13 +78,13 @@
         sockets.remove(to);
     }
 
-    /** From now on it leads to another process. */
+    /** Closes all connections and forwards new ones to another process. */
     public void redirectTo(InetSocketAddress newTarget) {
         target = newTarget;
         closeConnections();
     }
 
-    /** All connections of now; others may be opened. */
+    /** Closes all current connections; new ones are accepted. */
     public void closeConnections() {
         sockets.forEach(LinkProxy::close);
     }
@@ -88,7 +93,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // Closing was all that was wanted.
+            // A socket that can't be closed is of no further use.
         }
     }
 
--- a/lab/src/main/java/vetchrill/standin/LoopbackServers.java
+++ b/lab/src/main/java/vetchrill/standin/LoopbackServers.java
@@ -5,21 +5,26 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 
-/** What all stand-ins do alike: take peers on loopback, a thread for each, and read lines. */
+/** Shared parts of the fakes: accepting connections with one daemon thread each, and reading lines. */
 final class LoopbackServers {
+    /** Serves one connection until its end; the caller closes the socket. */
     interface ConnectionHandler {
         void handle(Socket socket) throws IOException;
     }
 
+    /** A fleet needs many of these threads, and none of them has deep stacks. */
+    private static final int STACK_BYTES = 256 << 10;
+
     private LoopbackServers() {
     }
 
     static Thread daemonThread(String name, Runnable work) {
-        Thread thread = new Thread(null, work, name, 256 << 10);
+        Thread thread = new Thread(null, work, name, STACK_BYTES);
         thread.setDaemon(true);
         return thread;
     }
 
+    /** Starts a thread that accepts connections until the server socket is closed. */
     static void acceptConnections(ServerSocket server, ConnectionHandler handler) {
         daemonThread("stand-in", () -> {
             try {
@@ -30,17 +35,17 @@
                             socket.setTcpNoDelay(true);
                             handler.handle(socket);
                         } catch (IOException e) {
-                            // The other side has closed it, or the stand-in has.
+                            // Closed by the peer or by the fake itself.
                         }
                     }).start();
                 }
             } catch (IOException e) {
-                // Closed at the end.
+                // The server socket was closed.
             }
         }).start();
     }
 
-    /** Without its end; null at the end of the input. */
+    /** Reads a line and returns it without its line end, or null at the end of the input. */
     static String readLine(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int c = in.read(); c != '\n'; c = in.read()) {
--- a/lab/src/main/java/vetchrill/standin/Ports.java
+++ b/lab/src/main/java/vetchrill/standin/Ports.java
@@ -6,7 +6,7 @@
 import java.net.ServerSocket;
 import java.util.concurrent.ThreadLocalRandom;
 
-/** Ports of loopback for whatever is started as a process of its own, and may be started there again. */
+/** Finds loopback ports for servers that run as separate processes and may be restarted on the same port. */
 public final class Ports {
     private static final int MIN_PORT = 16_000;
     private static final int MAX_PORT = 32_000;
@@ -16,8 +16,8 @@
     }
 
     /**
-     * One on which nothing listens now. None of those that the system hands out: some connection would have it by the
-     * time that it is listened on, or between two processes.
+     * Returns a port on which nothing listens now. It lies outside the range of ephemeral ports: the system could give
+     * one of those to an outgoing connection before the server listens on it, or while the server restarts.
      */
     public static int findFree() throws IOException {
         for (int i = 0; i < MAX_ATTEMPTS; i++) {
@@ -25,7 +25,7 @@
             try (ServerSocket probe = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
                 return probe.getLocalPort();
             } catch (BindException e) {
-                // Somebody has it.
+                // The port is in use.
             }
         }
         throw new IOException("no free port from " + MIN_PORT + " to " + MAX_PORT);
--- a/lab/src/main/java/vetchrill/standin/ScriptedAuditScenario.java
+++ b/lab/src/main/java/vetchrill/standin/ScriptedAuditScenario.java
@@ -7,15 +7,23 @@
 import java.util.List;
 import vetchrill.hcl.ConfigBlock;
 
-/** A play as somebody writes it: what breaks from when to when, overlapping at will, and what is ordered between. */
+/**
+ * A scenario that an HCL file describes: faults with their start and end, which may overlap, and the versions and
+ * minimum versions that are ordered meanwhile.
+ */
 public final class ScriptedAuditScenario {
     private static final String[] FAULT_KINDS = {"kill", "stop", "part", "mute", "deaf", "delay", "clock", "full",
             "cut"};
 
-    /** One thing at its time. */
+    private static final int DEFAULT_CLOCK_STEP_MS = 3_600_000;
+    private static final int DEFAULT_DELAY_MS = 30;
+    private static final int MAX_DURATION_S = 600;
+
+    /** An action and its time since the start of the load. */
     private record ScheduledAction(double atSeconds, RigAction action) {
     }
 
+    /** Something that is done to the rig. */
     private interface RigAction {
         void apply(AuditTestRig rig) throws IOException, InterruptedException;
     }
@@ -24,12 +32,12 @@
     public final int voters;
     private final List<ScheduledAction> actions = new ArrayList<>();
 
-    /** Throws Mistakes with all that is wrong in the file. */
+    /** Reads the file; the exception of {@link ConfigBlock#check} lists everything that is wrong in it. */
     public ScriptedAuditScenario(Path file) throws IOException {
         ConfigBlock root = ConfigBlock.read(file);
         processes = root.integer("processes", 3, 40);
         voters = root.integer("keepers", 1, 7, 3);
-        double durationS = root.number("lasts_s", 1, 600);
+        double durationS = root.number("lasts_s", 1, MAX_DURATION_S);
         if (voters % 2 == 0 || voters > processes) {
             root.addError("keepers", "should be 1, 3, 5 or 7, and no more than processes");
         }
@@ -46,9 +54,11 @@
         for (ConfigBlock each : root.blocks("floor")) {
             int instance = parseInstance(each, "on");
             int number = parseVersionNumber(each);
-            // The others go on meanwhile: what is ordered is waited for beside them.
+            // The confirmation is awaited in the background, because later actions must not wait for it.
             actions.add(new ScheduledAction(each.number("at_s", 0, durationS),
-                    rig -> rig.runInBackground(itself -> itself.awaitMinVersion(instance, number, 5_000))));
+                    rig -> rig.runInBackground(
+                            background -> background.awaitMinVersion(instance, number,
+                                    AuditScenario.MIN_VERSION_TIMEOUT_MS))));
         }
         actions.add(new ScheduledAction(durationS, rig -> { }));
         root.check();
@@ -91,7 +101,8 @@
         if (members == 0) {
             block.addError("of", "should name some of r0 to r" + (processes - 1));
         }
-        int value = block.integer("by_ms", -86_400_000, 86_400_000, kind.equals("clock") ? 3_600_000 : 30);
+        int value = block.integer("by_ms", -86_400_000, 86_400_000, kind.equals("clock") ? DEFAULT_CLOCK_STEP_MS
+                : DEFAULT_DELAY_MS);
         String disk = block.oneOf("disk", "whole", "lost", "torn");
         int affected = members;
         actions.add(new ScheduledAction(fromS, rig -> injectFault(rig, kind, affected, value)));
@@ -150,13 +161,13 @@
         }
     }
 
-    /** Plays it in a folder that is there and empty. */
+    /** Runs the scenario in an empty folder and verifies the audit logs. */
     public AuditScenario.Outcome run(Path folder) throws IOException, InterruptedException {
         AuditScenario.Outcome outcome = new AuditScenario.Outcome();
         outcome.processes = processes;
         try (AuditTestRig rig = new AuditTestRig(processes, voters, folder, 1)) {
             rig.awaitVersionOnAll(0);
-            rig.startLoad(40);
+            rig.startLoad(AuditScenario.EXCHANGES_PER_S);
             long startNanos = System.nanoTime();
             for (ScheduledAction each : actions) {
                 long remainingNanos = (long) (each.atSeconds() * 1e9) - (System.nanoTime() - startNanos);
--- a/lab/src/main/java/vetchrill/standin/StubFrames.java
+++ b/lab/src/main/java/vetchrill/standin/StubFrames.java
@@ -7,10 +7,11 @@
 import java.io.IOException;
 import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.Map;
 
-/** Frames as a client stub writes and reads them, written apart from the program's own parsers. */
+/** Writes and reads frames as a client stub does, independently of the parsers of the module {@code instance}. */
 public final class StubFrames {
     public static final int EXCHANGE = 2;
     public static final int ANSWER = 4;
@@ -20,13 +21,14 @@
     public static final int DENIED = 66;
     public static final int TERMINATED = 69;
 
-    /** A frame that was read; the fields of an answer are told apart from its body. */
+    /** A received frame; {@code fields} and {@code body} are those of an answer. */
     public record Frame(int type, int stream, int code, Map<String, String> fields, byte[] body) {
     }
 
     private StubFrames() {
     }
 
+    /** Returns a complete frame with its length, type and stream number. */
     public static byte[] frame(int type, int stream, byte[] payload) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(payload.length + 9);
         DataOutputStream data = new DataOutputStream(bytes);
@@ -41,7 +43,7 @@
         return bytes.toByteArray();
     }
 
-    /** Fields given as name, value, name, value. */
+    /** Returns a payload of fields and a body; {@code fields} alternates between names and values. */
     public static byte[] payload(byte[] body, String... fields) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream data = new DataOutputStream(bytes);
@@ -60,7 +62,7 @@
         return bytes.toByteArray();
     }
 
-    /** The next frame, or null at the end of the connection. */
+    /** Reads the next frame; returns null at the end of the connection. */
     public static Frame read(DataInputStream in) throws IOException {
         int length;
         try {
@@ -86,6 +88,6 @@
             offset += 2 + valueSize;
         }
         return new Frame(type, stream, code, fields,
-                payload.length <= offset ? new byte[0] : java.util.Arrays.copyOfRange(payload, offset, payload.length));
+                payload.length <= offset ? new byte[0] : Arrays.copyOfRange(payload, offset, payload.length));
     }
 }
