--- a/lab/src/main/java/vetchrill/model/ClientRequest.java
+++ b/lab/src/main/java/vetchrill/model/ClientRequest.java
@@ -1,7 +1,10 @@
 package vetchrill.model;
 
-/** What a client asks of its stub, from the first try to the end of the last. */
+import java.util.Arrays;
+
+/** A request of a client to its stub, from the first attempt to the end of the last. */
 public class ClientRequest {
+    /** How an attempt ended. */
     public enum Answer { COMPLETED, DENIED, TERMINATED, RESET, UNREACHABLE, TIMED_OUT }
 
     public final int group;
@@ -9,14 +12,14 @@
     public final long subject;
     public final double sizeKb;
     public final int bodyBytes;
-    /** When it came to the stub, and when its client gives up; tenths of a millisecond. */
+    /** When the stub received it, and when its client stops waiting, in tenths of a millisecond. */
     public final long receivedAt;
     public final long deadline;
-    /** Tries sent so far. */
+    /** Attempts sent so far. */
     public int attempts;
-    /** Its end is known: nothing more is sent for it. */
+    /** Whether its outcome is known, so that no more attempts are sent. */
     public boolean finished;
-    /** Relays tried since all of those listed had been tried last. */
+    /** Instances attempted; cleared once all listed instances were attempted. */
     int[] attempted = new int[4];
     int attemptedCount;
 
@@ -42,7 +45,7 @@
 
     void recordAttempt(int instance) {
         if (attemptedCount == attempted.length) {
-            attempted = java.util.Arrays.copyOf(attempted, 2 * attemptedCount);
+            attempted = Arrays.copyOf(attempted, 2 * attemptedCount);
         }
         attempted[attemptedCount++] = instance;
         attempts++;
--- a/lab/src/main/java/vetchrill/model/ClientStub.java
+++ b/lab/src/main/java/vetchrill/model/ClientStub.java
@@ -6,14 +6,14 @@
 import vetchrill.model.ClientRequest.Answer;
 
 /**
- * What becomes of an asking at its stub, from the choice of a relay to the end of the last try: the same in the model
- * and in the rig. How a try travels, and what time it is, is up to those.
+ * A client stub: it sends attempts of a request until the request has ended. The simulation and the test rig share it
+ * and provide the transport and the clock.
  */
 public abstract class ClientStub {
-    /** Where no relay is listed a stub looks again after so long, in tenths of a millisecond. */
+    /** Time until the next attempt while no instance is listed. */
     private static final long NO_INSTANCE_RETRY_TENTHS_MS = 1_000;
 
-    /** Among the stubs of all pools. */
+    /** Its number among the stubs of all pools. */
     public final int number;
     public final int zone;
     protected final StubPolicy policy;
@@ -30,18 +30,18 @@
         zone = fleet.zoneIndexOf(pool, number);
     }
 
-    /** One try is to go to a relay, and to be given up at {@code giveUpAt}. */
+    /** Sends one attempt to an instance; it times out at {@code attemptDeadline}. */
     protected abstract void sendAttempt(ClientRequest request, int instance, long attemptDeadline, long now);
 
-    /** {@link #retry} is to be called at a time. */
+    /** Schedules a call of {@link #retry}. */
     protected abstract void scheduleRetry(ClientRequest request, long time);
 
-    /** The end of an asking is known, whichever it is. */
+    /** Called once the outcome of a request is known. */
     protected void onFinished(ClientRequest request, Answer answer, long now) {
-        // Counted here; some want to know besides.
+        // The statistics are updated already; subclasses may do more.
     }
 
-    /** The next try, or the first. */
+    /** Sends the first or the next attempt of a request. */
     public final void send(ClientRequest request, long now) {
         int instance = policy.choose(request, now);
         if (instance >= 0) {
@@ -55,13 +55,14 @@
         }
     }
 
+    /** Sends the next attempt unless the request has ended. */
     protected final void retry(ClientRequest request, long now) {
         if (!request.finished) {
             send(request, now);
         }
     }
 
-    /** A try is over, of which this is called once. */
+    /** Called once for each attempt, when it has ended. */
     protected final void attemptEnded(ClientRequest request, int instance, Answer answer, long retryAfter,
             boolean doNotRetry, long now) {
         if (answer == Answer.DENIED) {
--- a/lab/src/main/java/vetchrill/model/Event.java
+++ b/lab/src/main/java/vetchrill/model/Event.java
@@ -1,9 +1,10 @@
 package vetchrill.model;
 
-/** Something that happens at a time; those of one time happen in the order in which they were added. */
+/** An event of the simulation. Events of the same time are executed in the order in which they were added. */
 public abstract class Event {
     long time;
     long sequence;
+    /** The next event of the same bucket in {@link TimingWheelQueue}. */
     Event next;
 
     public abstract void execute(long now);
--- a/lab/src/main/java/vetchrill/model/EventQueue.java
+++ b/lab/src/main/java/vetchrill/model/EventQueue.java
@@ -1,13 +1,13 @@
 package vetchrill.model;
 
-/** Events in the order of their times. */
+/** A queue of events, ordered by time. */
 public interface EventQueue {
-    /** A time before that of the last event taken counts as that. */
+    /** Adds an event; a time before that of the last polled event counts as the time of that event. */
     void add(long time, Event event);
 
-    /** The first event, or null where none is left. */
+    /** Removes and returns the first event, or null if there is none. */
     Event poll();
 
-    /** The time of the event that was taken last, in tenths of a millisecond. */
+    /** Returns the time of the last polled event, in tenths of a millisecond. */
     long now();
 }
--- a/lab/src/main/java/vetchrill/model/FleetSimulation.java
+++ b/lab/src/main/java/vetchrill/model/FleetSimulation.java
@@ -1,59 +1,77 @@
 package vetchrill.model;
 
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
 import vetchrill.control.Exchange.Outcome;
+import vetchrill.fleet.Fault;
 import vetchrill.fleet.Fleet;
 import vetchrill.fleet.Fleet.StubPool;
-import vetchrill.fleet.Fault;
+import vetchrill.model.ClientRequest.Answer;
+import vetchrill.model.SimulatedInstance.SimulatedExchange;
 
 /**
- * A fleet in virtual time: real modules on modelled machines, stubs of declared habits, a roster that lags, and what
- * goes wrong by a script. One thread plays one world; the same seed gives the same run whatever runs beside it.
+ * A discrete-event simulation of a fleet in virtual time: the real overload controllers on modelled machines, stubs
+ * that follow the policies of their pools, a directory that lags, and the faults of the fleet file. A simulation runs
+ * on one thread and depends on its seed only, not on others that run beside it.
+ *
+ * <p>All times and durations are tenths of a millisecond since the start of the run.
  */
 public final class FleetSimulation {
-    /** An asking of the model, with the core time that it needs wherever it is run. */
+    /** A request with the core time that it needs on any instance. */
     static final class SimulatedRequest extends ClientRequest {
         final double coreTime;
         final boolean callsTier;
 
         SimulatedRequest(int group, int customer, long subject, double sizeKb, int bodyBytes, long receivedAt,
-                long deadline, double coreTime,
-                boolean callsTier) {
+                long deadline, double coreTime, boolean callsTier) {
             super(group, customer, subject, sizeKb, bodyBytes, receivedAt, deadline);
             this.coreTime = coreTime;
             this.callsTier = callsTier;
         }
     }
 
+    /** Variation between machines of a kind does not make one slower than this share of its speed. */
+    private static final double MIN_MACHINE_SPEED_RATIO = 0.2;
+    /** Time after the last timeout in which events are still executed. */
+    private static final long END_MARGIN_TENTHS_MS = 10;
+    /** Added to the seed, so that the draws of faults do not depend on those of the workload. */
+    private static final int FAULT_SEED_OFFSET = 77;
+    private static final int RESET_SEED_OFFSET = 78;
+
     final Fleet fleet;
     final EventQueue events;
     final SimulatedInstance[] instances;
     final ServiceStatistics statistics;
     final PeakUsage peakUsage = new PeakUsage();
     private final SimulatedStub[] stubs;
+    /** By instance: whether stubs see it in the directory. */
     private final boolean[] listed;
+    /** By instance: open exchanges as last reported to the stubs. */
     private final int[] reportedQueues;
     private final Workload workload;
-    /** Null where first tries are drawn. */
+    /** The requests that are replayed; null if they are drawn. */
     private List<Workload.RecordedRequest> recorded;
     private final SplittableRandom random;
     private final long seed;
     private final long duration;
     private final long countFrom;
+    /** Changes of the burst factor so far; an arrival drawn before the last one is void. */
     private long burstChanges;
     private double burstFactor = 1;
     private long attempts;
     long deniedAttempts;
     private int callsInFlight;
-    /** When each batch of the rolling deploy begins, if there is one. */
+    /** When the batches of rolling deploys begin. */
     private final List<Long> batchStarts = new ArrayList<>();
     private long eventCount;
 
     /**
-     * {@code span} of new exchanges, in tenths of a millisecond; peaks are counted from {@code countFrom} on. Past the
-     * span the run goes on until all that was asked for has ended.
+     * Creates a simulation.
+     *
+     * @param duration time in which new requests arrive; the run continues until all of them have ended
+     * @param countFrom start of the time over which the peak usage is counted
      */
     public FleetSimulation(Fleet fleet, Workload workload, long duration, long countFrom, long seed,
             EventQueue events) {
@@ -68,14 +86,14 @@
         List<SimulatedInstance> all = new ArrayList<>();
         SplittableRandom speedRandom = random.split();
         for (Fleet.InstancePlacement place : fleet.placements()) {
-            double speed = Math.max(0.2,
+            double speed = Math.max(MIN_MACHINE_SPEED_RATIO,
                     1 + place.kind().speedCv() * Workload.ConfiguredWorkload.nextGaussian(speedRandom));
             all.add(new SimulatedInstance(this, all.size(), place.zone(), place.kind(), speed, fleet.stubCount()));
         }
         instances = all.toArray(new SimulatedInstance[0]);
         listed = new boolean[instances.length];
         reportedQueues = new int[instances.length];
-        java.util.Arrays.fill(listed, true);
+        Arrays.fill(listed, true);
         StubPolicy.InstanceDirectory directory = StubPolicy.InstanceDirectory.of(listed);
         stubs = new SimulatedStub[fleet.stubCount()];
         int number = 0;
@@ -88,7 +106,7 @@
         }
     }
 
-    /** Plays the whole span. */
+    /** Runs the simulation to its end. Called once. */
     public SimulationResult run() {
         for (SimulatedInstance instance : instances) {
             instance.start(false, 0);
@@ -113,7 +131,7 @@
             }
         });
         schedule(duration, this::countUsage);
-        long end = duration + fleet.longestTimeout() + 10;
+        long end = duration + fleet.longestTimeout() + END_MARGIN_TENTHS_MS;
         for (Event event = events.poll(); event != null && event.time <= end; event = events.poll()) {
             event.execute(event.time);
             eventCount++;
@@ -121,6 +139,7 @@
         return new SimulationResult(statistics, peakUsage, List.copyOf(batchStarts), eventCount);
     }
 
+    /** Computes the usage of the whole counted time. */
     private void countUsage(long now) {
         double counted = Math.max(1, now - countFrom);
         double busy = 0;
@@ -143,26 +162,29 @@
         peakUsage.allAvoided = allAvoided / Math.max(1.0, choices);
     }
 
+    /** Whether peaks are counted at a time. */
     boolean isCounting(long now) {
         return now >= countFrom && now <= duration;
     }
 
+    /** Returns the seed of the controller of one incarnation. */
     long seedOf(int instance, int incarnation) {
         return new SplittableRandom(seed * 31 + instance * 1_000_003L + incarnation).nextLong();
     }
 
+    /** Returns the network delay between two zones. */
     long delay(int from, int to) {
         return from == to ? fleet.network.withinZone() : fleet.network.acrossZones();
     }
 
-    /** An answer, or the end of a connection, on its way to the stub. */
-    void deliverAnswer(SimulatedInstance instance, SimulatedInstance.SimulatedExchange ex, ClientRequest.Answer answer,
+    /** Sends an answer, or the reset of the connection, to the stub. */
+    void deliverAnswer(SimulatedInstance instance, SimulatedExchange ex, Answer answer,
             long retryAfter, boolean doNotRetry, long now) {
         schedule(now + delay(ex.stub.zone, instance.zone),
                 then -> ex.stub.onAnswer(instance, ex, answer, retryAfter, doNotRetry, then));
     }
 
-    /** A way to say what happens at a time. */
+    /** An action at a time of the simulation. */
     interface Action {
         void run(long now);
     }
@@ -176,8 +198,12 @@
         });
     }
 
-    // New exchanges.
+    // Arrival of requests.
 
+    /**
+     * Draws the next arrival of a Poisson process with a variable rate, by thinning: arrivals are drawn at the peak
+     * rate and accepted with the ratio of the rate to the peak.
+     */
     private long nextArrival(long now) {
         double peak = workload.peakRate() * Math.max(1, burstFactor);
         double at = now;
@@ -187,17 +213,18 @@
         return (long) Math.ceil(at);
     }
 
-    /** Counted as asked for; what is not known of it is drawn. */
+    /** Creates and counts a request; its core time is drawn if it was not recorded, and whether it calls the tier. */
     private SimulatedRequest newRequest(Workload.RecordedRequest first, long now) {
         Fleet.Group group = fleet.groups.get(first.group());
         double coreTime = Double.isNaN(first.coreTime()) ? workload.coreTime(first.group(), random) : first.coreTime();
         SimulatedRequest request = new SimulatedRequest(first.group(), first.customer(), first.subject(),
-                first.sizeKb(), first.bodyBytes(), now,
-                now + group.asyncTimeout(), coreTime, group.callShare() > 0 && random.nextDouble() < group.callShare());
+                first.sizeKb(), first.bodyBytes(), now, now + group.asyncTimeout(), coreTime,
+                group.callShare() > 0 && random.nextDouble() < group.callShare());
         statistics.onRequest(request);
         return request;
     }
 
+    /** The arrival of a request with random values; it schedules the next one. */
     private final class GeneratedArrival extends Event {
         private final long ofBurst = burstChanges;
 
@@ -215,7 +242,10 @@
         }
     }
 
-    /** One that is known, and after it the next; a burst sends some of them more than once, or leaves some out. */
+    /**
+     * The arrival of a recorded request; it schedules the next one. A burst sends some requests more than once, or
+     * omits some.
+     */
     private final class RecordedArrival extends Event {
         private final int index;
 
@@ -241,7 +271,7 @@
         }
     }
 
-    /** Another rate from now on; what was drawn for the old one is drawn again. */
+    /** Changes the rate; the next arrival, drawn for the previous rate, is drawn again. */
     private void setBurst(double factor, long now) {
         burstFactor = factor;
         burstChanges++;
@@ -256,6 +286,7 @@
         }
     }
 
+    /** Reports the open exchanges of all instances to the stubs, periodically. */
     private final class QueueReport extends Event {
         private static final long PERIOD_TENTHS_MS = 5_000;
 
@@ -270,9 +301,9 @@
         }
     }
 
-    // The roster.
+    // The directory of instances.
 
-    /** Stubs follow what a relay says of itself after the roster's lag. */
+    /** Stubs follow a health report after the lag of the directory; at the start of the run at once. */
     void onHealthReport(SimulatedInstance instance, boolean isHealthy) {
         int incarnation = instance.incarnation;
         schedule(events.now() + (events.now() == 0 ? 0 : fleet.directoryDelays.reportLag()), now -> {
@@ -282,7 +313,7 @@
         });
     }
 
-    /** Nobody says that it is gone: it stays listed until the silence is noticed, unless it is back by then. */
+    /** After a crash without a report: the instance is listed until the silence timeout, unless it restarts before. */
     private void delistWhenSilent(SimulatedInstance instance, long now) {
         int incarnation = instance.incarnation;
         schedule(now + fleet.directoryDelays.silenceTimeout(), then -> {
@@ -292,7 +323,7 @@
         });
     }
 
-    // What goes wrong.
+    // Faults.
 
     private void scheduleFault(Fault fault) {
         if (fault instanceof Fault.Burst each) {
@@ -313,7 +344,7 @@
             }
             scheduleLoss(lost, each.from(), each.until());
         } else if (fault instanceof Fault.ConnectionReset each) {
-            schedule(each.from(), now -> resetConnections(each, new SplittableRandom(seed + 78), now));
+            schedule(each.from(), now -> resetConnections(each, new SplittableRandom(seed + RESET_SEED_OFFSET), now));
         } else if (fault instanceof Fault.RollingDeploy each) {
             scheduleDeploy(each.from());
         }
@@ -326,16 +357,18 @@
         }
     }
 
+    /** Draws a share of the instances; the same ones for each fault of a run with an equal share. */
     private List<SimulatedInstance> drawInstances(double ratio) {
         List<SimulatedInstance> remaining = new ArrayList<>(List.of(instances));
         List<SimulatedInstance> drawn = new ArrayList<>();
-        SplittableRandom random = new SplittableRandom(seed + 77);
+        SplittableRandom random = new SplittableRandom(seed + FAULT_SEED_OFFSET);
         for (long n = Math.round(ratio * instances.length); n > 0; n--) {
             drawn.add(remaining.remove(random.nextInt(remaining.size())));
         }
         return drawn;
     }
 
+    /** Crashes instances with their machines and restarts them cold, together. */
     private void scheduleLoss(List<SimulatedInstance> lost, long from, long until) {
         schedule(from, now -> {
             for (SimulatedInstance instance : lost) {
@@ -358,13 +391,14 @@
         }
     }
 
-    /** It died of its own load: it is started again, cold, after a while. */
+    /** Crashes an instance that exceeded its own limits; it restarts cold after the restart delay. */
     void crashFromOverload(SimulatedInstance instance, long now) {
         instance.crash(now);
         delistWhenSilent(instance, now);
         scheduleRestart(instance, now + fleet.rules.restartDelay());
     }
 
+    /** Schedules a cold start, unless the instance is started otherwise before or its machine is lost. */
     private void scheduleRestart(SimulatedInstance instance, long time) {
         int incarnation = instance.incarnation;
         schedule(time, now -> {
@@ -386,6 +420,7 @@
         }
     }
 
+    /** Drains an instance, stops it and starts its successor. */
     private void replace(SimulatedInstance instance, long now) {
         if (!instance.up) {
             return;
@@ -401,9 +436,10 @@
         });
     }
 
-    // The tier below.
+    // The shared tier.
 
-    void callTier(SimulatedInstance instance, SimulatedInstance.SimulatedExchange ex, long deadline) {
+    /** Makes a call, which fails if all slots of the tier are in use. A call that times out keeps its slot. */
+    void callTier(SimulatedInstance instance, SimulatedExchange ex, long deadline) {
         long now = events.now();
         if (fleet.tier == null || callsInFlight >= fleet.tier.slots()) {
             schedule(now + fleet.network.withinZone(),
--- a/lab/src/main/java/vetchrill/model/HeapEventQueue.java
+++ b/lab/src/main/java/vetchrill/model/HeapEventQueue.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** The plain queue that the wheel is measured against. */
+/** A simple queue, the reference for the order and the speed of {@link TimingWheelQueue}. */
 public final class HeapEventQueue implements EventQueue {
     static final Comparator<Event> ORDER = (a, b) -> {
         int by = Long.compare(a.time, b.time);
--- a/lab/src/main/java/vetchrill/model/PeakUsage.java
+++ b/lab/src/main/java/vetchrill/model/PeakUsage.java
@@ -1,27 +1,27 @@
 package vetchrill.model;
 
-/** How near to its limits a run came; shares of the limit, 1 where it is reached, unless said otherwise. */
+/** How close a run came to its limits: peak shares of each limit, 1 if it was reached, unless stated otherwise. */
 public final class PeakUsage {
-    /** Cores busy in the mean of all relays and of the time counted, and of the busiest relay. */
+    /** Mean share of busy cores, over all instances and the counted time, and that of the busiest instance. */
     public double meanCoreUsage;
     public double busiestInstanceCores;
-    /** Core time spent on reading, of all there is. */
+    /** Core time spent on reading, as a share of the core time of all instances. */
     public double readingShare;
-    /** Running for each core in the mean of the span that is survived, of what is survived. */
+    /** Running exchanges per core, averaged over the time that the limit allows, as a share of the limit. */
     public double runsPerCore;
     public double memory;
-    /** Tries denied, of all tries. */
+    /** Denied attempts as a share of all attempts. */
     public double deniedAttempts;
-    /** Connections open at one relay, of its table; and with what a relay keeps open besides, of its descriptors. */
+    /** Open connections of an instance as a share of its table, and with its other files of its descriptors. */
     public double connections;
     public double descriptors;
-    /** Choices of a stub that heeds advice which found every listed relay to be kept away from, of all its choices. */
+    /** Choices of stubs in which every listed instance was to be avoided, as a share of all choices. */
     public double allAvoided;
-    /** From the notice to leave until the last answer, of the time until the stop. */
+    /** Time from the start of a drain to the last answer, as a share of the time until the stop. */
     public double drainTime;
-    /** Calls in hand at the tier below, of its slots. */
+    /** Concurrent calls to the shared tier as a share of its slots. */
     public double tierCalls;
-    /** Relays that died of their memory or of their crowd; and exchanges open at a stop. */
+    /** Number of crashes from a lack of memory or too many runs, and of exchanges open at a stop. */
     public int crashes;
     public int openAtStop;
 }
--- a/lab/src/main/java/vetchrill/model/ServiceStatistics.java
+++ b/lab/src/main/java/vetchrill/model/ServiceStatistics.java
@@ -4,17 +4,20 @@
 import vetchrill.fleet.Fleet;
 import vetchrill.fleet.Fleet.Group;
 
-/** What clients asked for and got, by the second in which they asked; the rig counts with it as well as the model. */
+/**
+ * Counts what clients requested and received, by the second in which they sent the request. Used by the simulation and
+ * by the test rig.
+ */
 public final class ServiceStatistics {
     public static final int SECOND_TENTHS_MS = 10_000;
 
     private final Fleet fleet;
     public final int seconds;
-    /** By second: benefit asked for, answered within the SLO time, and answered later. */
+    /** By second: benefit requested, of answers within the SLO time, and of later answers. */
     public final double[] requestedBenefit;
     public final double[] inTimeBenefit;
     public final double[] lateBenefit;
-    /** By second: first tries, all tries, and tries denied. */
+    /** By second: first attempts, all attempts, and denied attempts. */
     public final long[] firstAttempts;
     public final long[] allAttempts;
     public final long[] deniedAttempts;
@@ -26,9 +29,9 @@
     private long failedCount;
     private long endedDeniedCount;
 
-    public ServiceStatistics(Fleet fleet, long span) {
+    public ServiceStatistics(Fleet fleet, long duration) {
         this.fleet = fleet;
-        seconds = (int) (span / SECOND_TENTHS_MS) + 1;
+        seconds = (int) (duration / SECOND_TENTHS_MS) + 1;
         requestedBenefit = new double[seconds];
         inTimeBenefit = new double[seconds];
         lateBenefit = new double[seconds];
@@ -62,7 +65,7 @@
         deniedAttempts[second(time)]++;
     }
 
-    /** The end of it, whichever; {@code answer} is that of its last try. */
+    /** Called when a request has ended; {@code answer} is that of its last attempt. */
     public void onFinished(ClientRequest request, ClientRequest.Answer answer, long now) {
         Group group = fleet.groups.get(request.group);
         if (answer != ClientRequest.Answer.COMPLETED || now > request.deadline) {
@@ -84,7 +87,7 @@
         }
     }
 
-    /** Benefit answered within the SLO time for that asked for in these seconds; NaN where nothing was asked for. */
+    /** Returns the benefit of answers within the SLO time as a share of that requested; NaN if there was none. */
     public double service(int fromSecond, int toSecond) {
         double all = sum(requestedBenefit, fromSecond, toSecond);
         return all == 0 ? Double.NaN : sum(inTimeBenefit, fromSecond, toSecond) / all;
@@ -94,7 +97,7 @@
         return service(second, second + 1);
     }
 
-    /** The worst service of {@code span} seconds on end. */
+    /** Returns the lowest service of any {@code windowSeconds} consecutive seconds. */
     public double worstService(int windowSeconds, int fromSecond, int toSecond) {
         double worst = 1;
         for (int i = fromSecond; i + windowSeconds <= Math.min(seconds, toSecond); i++) {
@@ -104,7 +107,7 @@
         return worst;
     }
 
-    /** All tries for each first try in these seconds. */
+    /** Returns the number of attempts for each first attempt in these seconds. */
     public double retryFactor(int fromSecond, int toSecond) {
         long first = sum(firstAttempts, fromSecond, toSecond);
         return first == 0 ? 1 : sum(allAttempts, fromSecond, toSecond) / (double) first;
--- a/lab/src/main/java/vetchrill/model/SharedCores.java
+++ b/lab/src/main/java/vetchrill/model/SharedCores.java
@@ -3,16 +3,20 @@
 import java.util.PriorityQueue;
 
 /**
- * The cores of one machine, shared alike by all that wants one: n jobs each get the part min(1, cores / n) of a core,
- * and past a crowd the whole gets slower. No clock and no thread of its own: whoever owns it says what time it is, in
- * tenths of a millisecond, so that the model and the stand-in of real time share it.
+ * The cores of one machine under processor sharing: n jobs each get the share min(1, cores / n) of a core, and past a
+ * threshold of jobs per core all of them become slower. It has no clock and no thread: its owner passes the time, in
+ * tenths of a millisecond, so that the simulation and the fake interpreter, which runs in real time, share it.
  */
 public final class SharedCores {
-    /** Slowest that a crowd makes the cores. */
+    /** Contention does not make the cores slower than this share of their speed. */
     private static final double MIN_SPEED_RATIO = 0.1;
 
-    /** Something that wants core time. */
+    /** Tolerance in the comparison of core times, for rounding errors of their sums. */
+    private static final double CORE_TIME_TOLERANCE_TENTHS_MS = 1e-6;
+
+    /** A job that needs core time. */
     public static class Job implements Comparable<Job> {
+        /** Value of {@link #servicePerJob} at which the job has had its core time. */
         private double endsAtService;
         private long sequence;
 
@@ -28,7 +32,7 @@
     private final double contentionLoss;
     private final PriorityQueue<Job> jobs = new PriorityQueue<>();
     private double speed;
-    /** Core time that each job present from the start on would have got. */
+    /** Core time that a job present since the start would have had. */
     private double servicePerJob;
     private long advancedTo;
     private long jobsAdded;
@@ -43,7 +47,7 @@
         advancedTo = now;
     }
 
-    /** The part of a core that each of {@code n} jobs gets on cores of speed 1. */
+    /** Returns the share of a core that each of {@code n} jobs gets on cores of speed 1, less what contention takes. */
     public static double coreShare(int n, int cores, double contentionThreshold, double contentionLoss) {
         if (n == 0) {
             return 0;
@@ -58,6 +62,7 @@
         return speed * coreShare(jobs.size(), cores, contentionThreshold, contentionLoss);
     }
 
+    /** Updates the sums up to {@code now}; called before any change. */
     private void advance(long now) {
         if (now > advancedTo) {
             int n = jobs.size();
@@ -68,6 +73,7 @@
         }
     }
 
+    /** Starts a job that needs {@code coreTime} on a core of speed 1. */
     public void add(Job job, double coreTime, long now) {
         advance(now);
         job.endsAtService = servicePerJob + coreTime;
@@ -75,44 +81,46 @@
         jobs.add(job);
     }
 
-    /** Another speed from now on: of a cold or a slowed machine. */
+    /** Changes the speed, of a machine that warms up or is slowed down. */
     public void setSpeed(double speed, long now) {
         advance(now);
         this.speed = speed;
     }
 
-    /** A job that has what it wants by now, or null; to be asked again until null. */
+    /** Removes and returns a job that has ended by now, or null; to be called until it returns null. */
     public Job pollFinished(long now) {
         advance(now);
         Job first = jobs.peek();
-        if (first == null || first.endsAtService > servicePerJob + 1e-6) {
+        if (first == null || first.endsAtService > servicePerJob + CORE_TIME_TOLERANCE_TENTHS_MS) {
             return null;
         }
         jobs.poll();
         return first;
     }
 
-    /** When the next job ends if nothing changes; Long.MAX_VALUE for never. */
+    /** Returns when the next job ends if nothing changes; Long.MAX_VALUE if there is none. */
     public long nextEnd(long now) {
         advance(now);
         Job first = jobs.peek();
         if (first == null) {
             return Long.MAX_VALUE;
         }
-        return now + Math.max(1, (long) Math.ceil((first.endsAtService - servicePerJob - 1e-6) / rate()));
+        return now + Math.max(1,
+                (long) Math.ceil((first.endsAtService - servicePerJob - CORE_TIME_TOLERANCE_TENTHS_MS) / rate()));
     }
 
+    /** Returns the number of jobs. */
     public int size() {
         return jobs.size();
     }
 
-    /** Time in which all cores would have been as busy as they were, since the start; its growth is the cpu share. */
+    /** Returns the busy share of the cores integrated over the time since the start. */
     public double busyTime(long now) {
         advance(now);
         return busyTimeSum;
     }
 
-    /** The sum over time of jobs that wanted a core, since the start. */
+    /** Returns the number of jobs integrated over the time since the start. */
     public double jobTime(long now) {
         advance(now);
         return jobTimeSum;
--- a/lab/src/main/java/vetchrill/model/SimulatedInstance.java
+++ b/lab/src/main/java/vetchrill/model/SimulatedInstance.java
@@ -1,6 +1,7 @@
 package vetchrill.model;
 
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.IdentityHashMap;
 import java.util.List;
 import java.util.Map;
@@ -11,27 +12,41 @@
 import vetchrill.control.OverloadController;
 import vetchrill.fleet.DeploymentSettings;
 import vetchrill.fleet.Fleet.MachineKind;
+import vetchrill.model.ClientRequest.Answer;
 import vetchrill.protocol.DeploymentReader;
 
-/** One relay of the model: its machine, and the real module behind {@link Host}, which makes all of its decisions. */
+/**
+ * One instance in the simulation: a model of its machine and, behind {@link Host}, the real {@link OverloadController},
+ * which makes all of its decisions.
+ */
 final class SimulatedInstance implements Host {
+    /** Ticks for which the number of runs per core is stored. */
     private static final int RUN_SAMPLES = 64;
-
-    /** One try as a relay has it. */
+    /** Interval between two ticks, as the controller requests them. */
+    private static final long TICK_INTERVAL_TENTHS_MS = 1000;
+    private static final double MIN_READING_TENTHS_MS = 0.1;
+    /** Descriptors of a process that are not connections to stubs. */
+    private static final int OTHER_DESCRIPTORS = 24;
+    /** In {@link #lastUsedByStub}: no connection. */
+    private static final long NOT_CONNECTED = Long.MIN_VALUE;
+
+    /** One attempt of a request, as its instance sees it. */
     static final class SimulatedExchange extends Exchange {
         final FleetSimulation.SimulatedRequest request;
         final SimulatedStub stub;
+        /** Incarnation of the instance when the attempt was sent. */
         final int incarnation;
-        /** Its stub has its answer, or has given it up. */
+        /** Whether the stub has received the answer, or the attempt has timed out at the stub. */
         boolean answeredAtStub;
-        /** Where it stands among the open ones of its relay; -1 once it is not. */
+        /** Its index in {@link SimulatedInstance#open}; -1 once it is not open. */
         int openIndex = -1;
         long runStartedAt;
+        /** Memory that is in use for it. */
         double bookedKb;
         boolean completed;
-        /** It was read, so that the module knows of it. */
+        /** Whether it was read, so that the controller knows it. */
         boolean read;
-        /** Repeats that wait for its end. */
+        /** Repeats that are answered when it ends. */
         List<SimulatedExchange> waitingRepeats;
 
         SimulatedExchange(FleetSimulation.SimulatedRequest request, SimulatedStub stub, int incarnation) {
@@ -43,6 +58,7 @@
 
     private enum WorkStep { READ_REQUEST, WHOLE_RUN, BEFORE_CALL, AFTER_CALL }
 
+    /** One piece of work of an exchange that needs core time. */
     private static final class CoreTask extends SharedCores.Job {
         final SimulatedExchange ex;
         final WorkStep step;
@@ -57,14 +73,16 @@
     final int number;
     final int zone;
     final MachineKind kind;
-    /** Of this machine among those of its kind. */
+    /** Speed of this machine as a ratio to that of its kind. */
     private final double machineSpeedRatio;
+    /** By stub: when its connection was last used. */
     private final long[] lastUsedByStub;
     private final List<SimulatedExchange> open = new ArrayList<>();
+    /** The first attempt of each request whose key is stored. */
     private final Map<ClientRequest, SimulatedExchange> dedupOriginals = new IdentityHashMap<>();
     private double slowdownFactor = 1;
     boolean up;
-    /** Lost with its machine: nothing starts it before its zone is back. */
+    /** Its machine is lost: it does not restart until the fault ends. */
     boolean machineLost;
     boolean healthy;
     boolean draining;
@@ -74,6 +92,7 @@
     private SharedCores cores;
     private OverloadController controller;
     private List<EndpointGroup> groups;
+    /** Time of the earliest scheduled {@link CoreCompletion} that is valid. */
     private long nextCoreEventAt = Long.MAX_VALUE;
     private double memoryKb;
     private int running;
@@ -99,6 +118,7 @@
         lastUsedByStub = new long[stubCount];
     }
 
+    /** Starts a new incarnation without memory of the previous one. */
     void start(boolean cold, long now) {
         this.cold = cold;
         up = true;
@@ -109,7 +129,7 @@
         memoryKb = 0;
         running = 0;
         connections = 0;
-        java.util.Arrays.fill(lastUsedByStub, Long.MIN_VALUE);
+        Arrays.fill(lastUsedByStub, NOT_CONNECTED);
         open.clear();
         dedupOriginals.clear();
         idleTime = simulation.fleet.rules.idleTime();
@@ -125,6 +145,7 @@
         applyDecisions(now);
     }
 
+    /** Returns the present speed of the cores: cold cores reach their full speed linearly. */
     private double speed(long now) {
         double warmRatio = !cold || kind.warmUpTime() <= 0 ? 1
                 : Math.min(1, kind.coldSpeedRatio() + (1 - kind.coldSpeedRatio()) * (now - startedAt)
@@ -132,6 +153,7 @@
         return kind.speed() * machineSpeedRatio * warmRatio / slowdownFactor;
     }
 
+    /** Divides the speed by a factor from now on. */
     void setSlowdown(double factor, long now) {
         slowdownFactor = factor;
         if (up) {
@@ -140,7 +162,7 @@
         }
     }
 
-    /** All that it holds is gone, and its connections with it. */
+    /** Ends the process: all connections are reset and all exchanges are lost. */
     void crash(long now) {
         List<SimulatedExchange> dropped = new ArrayList<>(open);
         up = false;
@@ -149,31 +171,31 @@
         open.clear();
         for (SimulatedExchange each : dropped) {
             each.openIndex = -1;
-            simulation.deliverAnswer(this, each, ClientRequest.Answer.RESET, 0, false, now);
+            simulation.deliverAnswer(this, each, Answer.RESET, 0, false, now);
         }
     }
 
-    /** What is open from one stub loses its connection, and its callers with it. */
+    /** Resets the connection of one stub, so that the callers of its open exchanges are disconnected. */
     void resetConnection(int stub, long now) {
         if (!up) {
             return;
         }
         for (SimulatedExchange each : List.copyOf(open)) {
             if (each.stub.number == stub) {
-                answer(each, ClientRequest.Answer.RESET, 0, false, now);
+                answer(each, Answer.RESET, 0, false, now);
                 if (each.read) {
                     controller.onCallerDisconnected(each, now);
                 }
             }
         }
-        if (lastUsedByStub[stub] != Long.MIN_VALUE) {
-            lastUsedByStub[stub] = Long.MIN_VALUE;
+        if (lastUsedByStub[stub] != NOT_CONNECTED) {
+            lastUsedByStub[stub] = NOT_CONNECTED;
             connections--;
         }
         applyDecisions(now);
     }
 
-    /** The notice to leave; the process ends {@code stop} later, answered or not. */
+    /** Starts a drain; the process ends at {@code stopAt}, whether or not all exchanges are answered. */
     void startDrain(long stopAt, long now) {
         draining = true;
         drainStartedAt = now;
@@ -182,7 +204,7 @@
         applyDecisions(now);
     }
 
-    /** The end of a drain: how many exchanges were still owed an answer. */
+    /** Ends a drain and the process; returns the number of exchanges without an answer. */
     int stop(long now) {
         simulation.peakUsage.drainTime = Math.max(simulation.peakUsage.drainTime,
                 (lastAnswerAt - drainStartedAt) / (double) simulation.fleet.rules.stopTimeout());
@@ -194,7 +216,7 @@
         return unanswered;
     }
 
-    /** A try reaches the machine: it is read before anything can be decided on it. */
+    /** An attempt reaches the machine. It must be read before the controller can decide on it. */
     void onArrival(SimulatedExchange ex, long now) {
         ex.arrivedAt = now;
         ex.group = groups.get(ex.request.group);
@@ -204,7 +226,7 @@
         open.add(ex);
         double coreTime = kind.readingTime();
         int stub = ex.stub.number;
-        if (lastUsedByStub[stub] == Long.MIN_VALUE) {
+        if (lastUsedByStub[stub] == NOT_CONNECTED) {
             connections++;
             coreTime += kind.connectTime();
         }
@@ -213,10 +235,11 @@
             coreTime += kind.readingTime() * kind.fullTableReadingFactor();
         }
         readingTime += coreTime;
-        cores.add(new CoreTask(ex, WorkStep.READ_REQUEST), Math.max(0.1, coreTime), now);
+        cores.add(new CoreTask(ex, WorkStep.READ_REQUEST), Math.max(MIN_READING_TENTHS_MS, coreTime), now);
         schedule(now);
     }
 
+    /** Schedules an event for the next end of a task, unless an earlier one is scheduled. */
     private void schedule(long now) {
         long next = cores.nextEnd(now);
         if (next < nextCoreEventAt) {
@@ -225,7 +248,7 @@
         }
     }
 
-    /** What is outdated by an earlier one that was put in since is passed over. */
+    /** The end of one or more tasks. It is ignored if an earlier event was scheduled after it. */
     private final class CoreCompletion extends Event {
         private final int ofIncarnation;
 
@@ -260,15 +283,15 @@
                 memoryKb -= ex.bookedKb;
                 ex.bookedKb = 0;
                 controller.onRunEnded(ex, Outcome.COMPLETED, now - ex.runStartedAt, now);
-                answer(ex, ClientRequest.Answer.COMPLETED, 0, false, now);
+                answer(ex, Answer.COMPLETED, 0, false, now);
             }
         }
     }
 
-    /** Only what has been read is held by the program, and booked. */
+    /** An exchange was read; from now on it uses memory. */
     private void onRead(SimulatedExchange ex, long now) {
         if (ex.openIndex < 0) {
-            // Its connection was reset while it was read: the bytes belong to nobody any more.
+            // Its connection was reset while it was read: the data is discarded.
             return;
         }
         ex.read = true;
@@ -282,8 +305,8 @@
         controller.onArrival(ex, now);
     }
 
-    /** The answer goes out, once. What is over is no longer in the relay. */
-    private void answer(SimulatedExchange ex, ClientRequest.Answer answer, long retryAfter, boolean doNotRetry,
+    /** Sends the answer of an exchange and removes it; has no effect if it is answered already. */
+    private void answer(SimulatedExchange ex, Answer answer, long retryAfter, boolean doNotRetry,
             long now) {
         if (ex.openIndex >= 0) {
             SimulatedExchange last = open.remove(open.size() - 1);
@@ -299,12 +322,13 @@
                 List<SimulatedExchange> repeats = ex.waitingRepeats;
                 ex.waitingRepeats = null;
                 for (SimulatedExchange repeat : repeats) {
-                    endReplay(repeat, answer == ClientRequest.Answer.COMPLETED, now);
+                    endReplay(repeat, answer == Answer.COMPLETED, now);
                 }
             }
         }
     }
 
+    /** Carries out all actions that the controller decides on now. */
     private void applyDecisions(long now) {
         while (up && controller.next(this)) {
             continue;
@@ -314,6 +338,7 @@
         }
     }
 
+    /** A tick that the controller requested. */
     private final class TickEvent extends Event {
         private final int ofIncarnation;
 
@@ -344,24 +369,26 @@
         applyDecisions(now);
     }
 
+    /** Closes connections that were idle for longer than {@link #idleTime}. */
     private void closeIdle(long now) {
         if (connections == 0) {
             return;
         }
         for (int i = 0; i < lastUsedByStub.length; i++) {
-            if (lastUsedByStub[i] != Long.MIN_VALUE && now - lastUsedByStub[i] > idleTime) {
-                lastUsedByStub[i] = Long.MIN_VALUE;
+            if (lastUsedByStub[i] != NOT_CONNECTED && now - lastUsedByStub[i] > idleTime) {
+                lastUsedByStub[i] = NOT_CONNECTED;
                 connections--;
             }
         }
     }
 
-    /** How near to its limits it is; past those of memory and crowd it dies. */
+    /** Records how close the instance is to its limits. It crashes past those of memory and of runs per core. */
     private void checkLimits(long now) {
         PeakUsage peaks = simulation.peakUsage;
         double perCore = running / (double) kind.cores();
         runsPerCoreSamples[tickCount++ % RUN_SAMPLES] = perCore;
-        int sampleCount = (int) Math.min(RUN_SAMPLES, Math.max(1, simulation.fleet.rules.overcommitTolerance() / 1000));
+        int sampleCount = (int) Math.min(RUN_SAMPLES,
+                Math.max(1, simulation.fleet.rules.overcommitTolerance() / TICK_INTERVAL_TENTHS_MS));
         double meanPerCore = 0;
         for (int i = 0; i < Math.min(tickCount, sampleCount); i++) {
             meanPerCore += runsPerCoreSamples[(tickCount - 1 - i) % RUN_SAMPLES];
@@ -373,7 +400,8 @@
             peaks.runsPerCore = Math.max(peaks.runsPerCore, meanPerCore / sustainablePerCore);
             peaks.memory = Math.max(peaks.memory, memoryKb / kind.memoryKb());
             peaks.connections = Math.max(peaks.connections, connections / (double) kind.connectionTable());
-            peaks.descriptors = Math.max(peaks.descriptors, (connections + 24) / (double) kind.descriptors());
+            peaks.descriptors = Math.max(peaks.descriptors,
+                    (connections + OTHER_DESCRIPTORS) / (double) kind.descriptors());
         }
         if (meanPerCore > sustainablePerCore || memoryKb > kind.memoryKb()) {
             peaks.crashes++;
@@ -381,21 +409,23 @@
         }
     }
 
-    /** Busy core time and core time spent reading since the counting began. */
+    /** Returns the busy time of the cores and the core time spent on reading since the counting began. */
     double[] countedUsage(long now) {
         return new double[] {up ? cores.busyTime(now) - busyBeforeCounting : 0, readingTime - readingBeforeCounting};
     }
 
+    /** Begins the time that {@link #countedUsage} covers. */
     void startCounting(long now) {
         busyBeforeCounting = up ? cores.busyTime(now) : 0;
         readingBeforeCounting = readingTime;
     }
 
+    /** Returns the number of exchanges without an answer. */
     int openCount() {
         return open.size();
     }
 
-    // What the module asks for.
+    // The actions of the controller.
 
     private SimulatedExchange simulated(Exchange ex) {
         return (SimulatedExchange) ex;
@@ -412,8 +442,7 @@
         attempt.runStartedAt = now;
         boolean calls = attempt.group.mayCall && attempt.request.callsTier;
         cores.add(new CoreTask(attempt, calls ? WorkStep.BEFORE_CALL : WorkStep.WHOLE_RUN),
-                calls ? attempt.request.coreTime / 2
-                : attempt.request.coreTime, now);
+                calls ? attempt.request.coreTime / 2 : attempt.request.coreTime, now);
     }
 
     @Override
@@ -424,7 +453,7 @@
         if (simulation.isCounting(simulation.events.now())) {
             simulation.deniedAttempts++;
         }
-        answer(attempt, ClientRequest.Answer.DENIED, retryAfter, noRetry, simulation.events.now());
+        answer(attempt, Answer.DENIED, retryAfter, noRetry, simulation.events.now());
     }
 
     @Override
@@ -434,12 +463,12 @@
             memoryKb -= attempt.bookedKb;
             attempt.bookedKb = 0;
         }
-        answer(attempt, ClientRequest.Answer.TERMINATED, 0, false, simulation.events.now());
+        answer(attempt, Answer.TERMINATED, 0, false, simulation.events.now());
     }
 
     @Override
     public void interrupt(Exchange ex) {
-        throw new IllegalStateException("running work can't be stopped in this fleet");
+        throw new IllegalStateException("simulated instances do not support the interruption of runs");
     }
 
     @Override
@@ -447,7 +476,7 @@
         simulation.callTier(this, simulated(ex), deadline);
     }
 
-    /** The end of a call, told to the module; with its result the run goes on. */
+    /** Reports the end of a call to the controller; if it has completed, the run continues. */
     void onCallEnded(SimulatedExchange ex, Outcome outcome, long duration, long now) {
         if (ex.incarnation != incarnation || ex.isFinished()) {
             return;
@@ -481,11 +510,12 @@
         }
     }
 
+    /** Answers a repeat with the outcome of its original. */
     private void endReplay(SimulatedExchange repeat, boolean completed, long now) {
         memoryKb -= repeat.bookedKb;
         repeat.bookedKb = 0;
         controller.onRunEnded(repeat, completed ? Outcome.COMPLETED : Outcome.ERRORED, 0, now);
-        answer(repeat, completed ? ClientRequest.Answer.COMPLETED : ClientRequest.Answer.TERMINATED, 0, false, now);
+        answer(repeat, completed ? Answer.COMPLETED : Answer.TERMINATED, 0, false, now);
     }
 
     @Override
@@ -506,7 +536,7 @@
 
     @Override
     public void publishLoadHint(double hint) {
-        throw new IllegalStateException("no free value is sent in this fleet");
+        throw new IllegalStateException("simulated instances do not support load hints");
     }
 
     @Override
--- a/lab/src/main/java/vetchrill/model/SimulatedStub.java
+++ b/lab/src/main/java/vetchrill/model/SimulatedStub.java
@@ -1,8 +1,11 @@
 package vetchrill.model;
 
 import vetchrill.fleet.Fleet.StubPool;
+import vetchrill.model.ClientRequest.Answer;
+import vetchrill.model.FleetSimulation.SimulatedRequest;
+import vetchrill.model.SimulatedInstance.SimulatedExchange;
 
-/** A client stub of the model: its tries are events, and it hears of them after the network's delay. */
+/** A client stub in the simulation: attempts and answers are events, delayed by the network. */
 final class SimulatedStub extends ClientStub {
     private final FleetSimulation simulation;
 
@@ -15,17 +18,15 @@
     protected void sendAttempt(ClientRequest request, int instanceNumber, long attemptDeadline, long now) {
         SimulatedInstance instance = simulation.instances[instanceNumber];
         simulation.countAttempt(now);
-        SimulatedInstance.SimulatedExchange ex =
-                new SimulatedInstance.SimulatedExchange((FleetSimulation.SimulatedRequest) request, this,
-                instance.incarnation);
+        SimulatedExchange ex = new SimulatedExchange((SimulatedRequest) request, this, instance.incarnation);
         simulation.schedule(now + simulation.delay(zone, instance.zone), then -> {
             if (instance.up) {
                 instance.onArrival(ex, then);
             } else {
-                simulation.deliverAnswer(instance, ex, ClientRequest.Answer.UNREACHABLE, 0, false, then);
+                simulation.deliverAnswer(instance, ex, Answer.UNREACHABLE, 0, false, then);
             }
         });
-        simulation.schedule(attemptDeadline, then -> onAnswer(instance, ex, ClientRequest.Answer.TIMED_OUT, 0, false,
+        simulation.schedule(attemptDeadline, then -> onAnswer(instance, ex, Answer.TIMED_OUT, 0, false,
                 then));
     }
 
@@ -34,8 +35,8 @@
         simulation.schedule(time, now -> retry(request, now));
     }
 
-    /** The try is over for this stub, which hears of it only now. */
-    void onAnswer(SimulatedInstance instance, SimulatedInstance.SimulatedExchange ex, ClientRequest.Answer answer,
+    /** An answer, a reset or the timeout of an attempt reaches the stub; only the first of them counts. */
+    void onAnswer(SimulatedInstance instance, SimulatedExchange ex, Answer answer,
             long retryAfter, boolean doNotRetry, long now) {
         if (!ex.answeredAtStub) {
             ex.answeredAtStub = true;
--- a/lab/src/main/java/vetchrill/model/SimulationResult.java
+++ b/lab/src/main/java/vetchrill/model/SimulationResult.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** What one world came to; {@code batches} are the times at which those of a rolling deploy began. */
+/** The result of one simulation; {@code batchStarts} are the times at which batches of a rolling deploy begin. */
 public record SimulationResult(ServiceStatistics statistics, PeakUsage peakUsage, List<Long> batchStarts,
         long eventCount) {
 }
--- a/lab/src/main/java/vetchrill/model/StubPolicy.java
+++ b/lab/src/main/java/vetchrill/model/StubPolicy.java
@@ -9,21 +9,21 @@
 import vetchrill.model.ClientRequest.Answer;
 
 /**
- * One client stub as its pool describes it: which relay it asks, and whether it asks again. It does no I/O and reads no
- * clock, and plays the same stub in the model and in the rig. Stubs are not ours to change: nothing in here is advice
- * on how a stub ought to behave.
+ * The behaviour of one client stub as its pool describes it: which instance it chooses and whether it retries. It does
+ * no I/O and reads no clock, so the simulation and the test rig share it. It models stubs as they are, since they are
+ * not part of this project, and not as they should be.
  */
 public final class StubPolicy {
-    /** A relay that could not be reached is passed over for so long, in tenths of a millisecond. */
+    /** For how long an instance that was unreachable or reset the connection is avoided. */
     private static final long UNREACHABLE_AVOIDANCE_TENTHS_MS = 10_000;
 
-    /** Which relays the roster lists, as stubs know it. */
+    /** The instances that are listed, as stubs see them. */
     public interface InstanceDirectory {
         int size();
 
         boolean isListed(int instance);
 
-        /** By an array that whoever keeps the list goes on changing. */
+        /** Returns a view of an array that its owner continues to update. */
         static InstanceDirectory of(boolean[] listed) {
             return new InstanceDirectory() {
                 @Override
@@ -43,16 +43,22 @@
     private final InstanceDirectory directory;
     private final SplittableRandom random;
     private final boolean followsRetryAfter;
+    /** By instance: until when it is avoided, and attempts of this stub in flight. */
     private final long[] avoidUntil;
     private final int[] inFlight;
-    /** Queues as last reported by the relays, shared by all stubs. */
+    /** By instance: open exchanges as last reported; shared by all stubs. */
     private final int[] reportedQueues;
     private int nextRoundRobin;
-    /** Choices made, and those in which it was to keep away from all that it could choose from. */
+    /** Choices made, and those in which all candidates were to be avoided. */
     public long choices;
     public long choicesAllAvoided;
 
-    /** {@code number} of {@code pool.count()}; the first of them heed advice, as many as the pool says. */
+    /**
+     * Creates the policy of one stub.
+     *
+     * @param indexInPool from 0 to {@code pool.count()}, exclusive; the stubs that follow retry-after delays are the
+     *     first ones
+     */
     public StubPolicy(StubPool pool, int indexInPool, InstanceDirectory directory, int[] reportedQueues,
             SplittableRandom random) {
         this.pool = pool;
@@ -66,8 +72,8 @@
     }
 
     /**
-     * The relay for the next try; -1 where none is listed. Those it keeps away from are asked only if there is no
-     * other.
+     * Returns the instance for the next attempt, or -1 if none is listed. An instance to be avoided is chosen only if
+     * there is no other.
      */
     public int choose(ClientRequest request, long now) {
         choices++;
@@ -79,7 +85,7 @@
         };
         int chosen = pick(request, start, now);
         if (chosen < 0 && request.attemptedCount > 0) {
-            // All that are listed were tried: from the start again.
+            // All listed instances were attempted: start again.
             request.attemptedCount = 0;
             chosen = pick(request, start, now);
         }
@@ -89,6 +95,7 @@
         return chosen;
     }
 
+    /** Returns the best listed instance not attempted yet, searching from {@code start}; -1 if there is none. */
     private int pick(ClientRequest request, int start, long now) {
         int n = directory.size();
         int best = -1;
@@ -116,20 +123,24 @@
         return best >= 0 ? best : soonestAvailable;
     }
 
+    /** The finalizer of MurmurHash3. */
     private static long mix(long value) {
         long mixed = (value ^ value >>> 33) * 0xff51afd7ed558ccdL;
         mixed = (mixed ^ mixed >>> 33) * 0xc4ceb9fe1a85ec53L;
         return mixed ^ mixed >>> 33;
     }
 
+    /** An attempt was sent. */
     public void onSent(ClientRequest request, int instance) {
         request.recordAttempt(instance);
         inFlight[instance]++;
     }
 
     /**
-     * A try is over: when the next may be sent, or -1 where there is none. {@code away} is the advice that came with a
-     * denial, in tenths of a millisecond; {@code giveUp} its wish that no other relay be tried.
+     * Records the end of an attempt and returns when the next one may be sent, or -1 if there is none.
+     *
+     * @param retryAfter the retry-after delay of a denial, in tenths of a millisecond; 0 for none
+     * @param doNotRetry whether the denial asks not to retry at another instance either
      */
     public long nextAttemptAt(ClientRequest request, Group group, int instance, Answer answer, long retryAfter,
             boolean doNotRetry, long now) {
@@ -154,7 +165,7 @@
         return next < request.deadline ? next : -1;
     }
 
-    /** When a single try is given up that is sent now. */
+    /** Returns when an attempt that is sent now times out. */
     public long attemptDeadline(ClientRequest request, long now) {
         return pool.attemptTimeout() > 0 ? Math.min(request.deadline, now + pool.attemptTimeout()) : request.deadline;
     }
--- a/lab/src/main/java/vetchrill/model/TimingWheelQueue.java
+++ b/lab/src/main/java/vetchrill/model/TimingWheelQueue.java
@@ -3,9 +3,9 @@
 import java.util.PriorityQueue;
 
 /**
- * A calendar with one bucket for each tenth of a millisecond of the next seconds, chained through the events
- * themselves, and a heap for what lies past them. Since a bucket holds one time only, its order is that of adding and
- * nothing is ever compared; a bitmap of two levels finds the next full bucket.
+ * A timing wheel with one bucket for each tenth of a millisecond of the next 6.5 seconds, linked through the events
+ * themselves, and a heap for later events. A bucket has events of one time only, in the order in which they were
+ * added, so they need no comparison; a bitmap of two levels finds the next occupied bucket.
  */
 public final class TimingWheelQueue implements EventQueue {
     private static final int WHEEL_BITS = 16;
@@ -14,6 +14,7 @@
 
     private final Event[] first = new Event[BUCKET_COUNT];
     private final Event[] last = new Event[BUCKET_COUNT];
+    /** One bit for each bucket, and one for each word of that bitmap. */
     private final long[] occupied = new long[BUCKET_COUNT >> 6];
     private final long[] occupiedWords = new long[BUCKET_COUNT >> 12];
     private final PriorityQueue<Event> overflow = new PriorityQueue<>(HeapEventQueue.ORDER);
@@ -74,7 +75,7 @@
         return event;
     }
 
-    /** What comes within reach is taken in before anything else can be added at its time. */
+    /** Advances the time and moves overflow events into the wheel, before others can be added at their time. */
     private void advanceTo(long time) {
         now = time;
         while (!overflow.isEmpty() && overflow.peek().time - now < BUCKET_COUNT) {
@@ -83,7 +84,7 @@
         }
     }
 
-    /** From a bucket to the next full one, itself included, around the wheel. */
+    /** Returns the distance from a bucket to the next occupied one, itself included, around the wheel. */
     private int distanceToOccupied(int from) {
         int word = from >> 6;
         long bitsFromBucket = occupied[word] >>> from;
@@ -101,7 +102,7 @@
             }
             wordIndex = ((wordIndex >> 6) + 1 << 6) & (wordCount - 1);
         }
-        throw new IllegalStateException("no bucket is full");
+        throw new IllegalStateException("no bucket is occupied");
     }
 
     @Override
--- a/lab/src/main/java/vetchrill/model/Workload.java
+++ b/lab/src/main/java/vetchrill/model/Workload.java
@@ -1,39 +1,42 @@
 package vetchrill.model;
 
+import java.util.Arrays;
+import java.util.List;
 import java.util.SplittableRandom;
 import vetchrill.fleet.Fleet;
 
-/** The first tries of clients: how often, and what each of them asks for. */
+/** The requests of clients: the rate of their arrival and the random values of each. */
 public interface Workload {
-    /** First tries for each tenth of a millisecond at a time of the run; troubles are not in it. */
+    /** Returns the requests per tenth of a millisecond at a time of the run, without the effect of faults. */
     double rate(long time);
 
-    /** The highest that {@link #rate} gets. */
+    /** Returns an upper bound of {@link #rate}. */
     double peakRate();
 
-    /** Core time that an exchange of this group needs, in tenths of a millisecond. */
+    /** Draws the core time of an exchange of the group, in tenths of a millisecond. */
     double coreTime(int group, SplittableRandom random);
 
+    /** Draws the index of a group. */
     int group(SplittableRandom random);
 
+    /** Draws the index of a customer. */
     int customer(SplittableRandom random);
 
-    /** Never 0. */
+    /** Draws a subject, which is never 0. */
     long subject(SplittableRandom random);
 
+    /** Draws the memory size of an exchange of the group. */
     double sizeKb(int group, SplittableRandom random);
 
+    /** Draws the length of the body of an exchange of the group. */
     int bodyBytes(int group, SplittableRandom random);
 
-    /**
-     * First tries one by one, in the order of their times, where they are known and not drawn; else null. {@code
-     * stub} is the number of the stub that they came from; {@code work} is NaN where it has to be drawn.
-     */
-    default java.util.List<RecordedRequest> recordedRequests() {
+    /** Returns the requests in the order of their times if they are replayed, or null if they are drawn. */
+    default List<RecordedRequest> recordedRequests() {
         return null;
     }
 
-    /** The same with only {@code part} of its load before {@code until}, so that what plays it is warm by then. */
+    /** Returns a workload with {@code ratio} of its rate before {@code until}, so that instances can warm up. */
     static Workload withRampUp(Workload workload, double ratio, long until) {
         return new DelegatingWorkload(workload) {
             @Override
@@ -43,7 +46,7 @@
         };
     }
 
-    /** Another demand, to be changed in part. */
+    /** Delegates to another workload; subclasses change a part of it. */
     class DelegatingWorkload implements Workload {
         private final Workload delegate;
 
@@ -92,19 +95,32 @@
         }
     }
 
-    /** One first try that is known. */
+    /**
+     * One recorded request.
+     *
+     * @param stub number of the stub that sent it; -1 if it is to be drawn
+     * @param coreTime NaN if it is to be drawn
+     */
     record RecordedRequest(long time, int stub, int group, int customer, long subject, double sizeKb, int bodyBytes,
             double coreTime) {
     }
 
-    /** What the fleet file says: a wave round a mean, works drawn from a lognormal, subjects by Zipf's law. */
+    /**
+     * The workload of a fleet file: a rate that varies as a sine around its mean, core times with a lognormal
+     * distribution, subjects with a Zipf distribution.
+     */
     final class ConfiguredWorkload implements Workload {
-        /** Subjects past so many are drawn alike: the tail of the law, where each is rare. */
+        /**
+         * Subjects of a higher rank are drawn with equal probability: in the tail of the distribution each of them is
+         * rare.
+         */
         private static final int INDIVIDUAL_SUBJECTS = 1 << 14;
+        private static final int MAX_BODY_BYTES = 2_048;
 
         private final Fleet fleet;
         private final double[] groupCumulative;
         private final double[] customerCumulative;
+        /** By group: parameters of the lognormal distribution of core times. */
         private final double[] mu;
         private final double[] sigma;
         private final double[] subjectCumulative;
@@ -130,6 +146,7 @@
                 weights[i] = Math.pow(i + 1.0, -skew);
             }
             if (distinct > INDIVIDUAL_SUBJECTS) {
+                // The integral of the density over the tail.
                 weights[INDIVIDUAL_SUBJECTS] = Math.abs(skew - 1) < 1e-9
                         ? Math.log(distinct / (double) INDIVIDUAL_SUBJECTS)
                         : (Math.pow(distinct, 1 - skew) - Math.pow(INDIVIDUAL_SUBJECTS, 1 - skew)) / (1 - skew);
@@ -145,21 +162,23 @@
             return cumulative;
         }
 
+        /** Draws an index with a probability proportional to its weight, of which the cumulative sums are given. */
         static int drawIndex(double[] cumulative, SplittableRandom random) {
             double drawn = random.nextDouble() * cumulative[cumulative.length - 1];
-            int found = java.util.Arrays.binarySearch(cumulative, drawn);
+            int found = Arrays.binarySearch(cumulative, drawn);
             return Math.min(cumulative.length - 1, found < 0 ? -found - 1 : found + 1);
         }
 
         @Override
         public double rate(long time) {
             Fleet.Load load = fleet.load;
-            return load.perSecond() / 10_000 * (1 + load.swingRatio() * Math.sin(2 * Math.PI * time / load.period()));
+            return load.perSecond() / ServiceStatistics.SECOND_TENTHS_MS
+                    * (1 + load.swingRatio() * Math.sin(2 * Math.PI * time / load.period()));
         }
 
         @Override
         public double peakRate() {
-            return fleet.load.perSecond() / 10_000 * (1 + fleet.load.swingRatio());
+            return fleet.load.perSecond() / ServiceStatistics.SECOND_TENTHS_MS * (1 + fleet.load.swingRatio());
         }
 
         @Override
@@ -167,6 +186,7 @@
             return Math.max(1, Math.exp(mu[group] + sigma[group] * nextGaussian(random)));
         }
 
+        /** Box-Muller transform; draws two values. */
         static double nextGaussian(SplittableRandom random) {
             double u = 1 - random.nextDouble();
             return Math.sqrt(-2 * Math.log(u)) * Math.cos(2 * Math.PI * random.nextDouble());
@@ -199,7 +219,7 @@
         @Override
         public int bodyBytes(int group, SplittableRandom random) {
             int mean = fleet.groups.get(group).bodyBytes();
-            return mean == 0 ? 0 : random.nextInt(Math.min(2 * mean, 2_048) + 1);
+            return mean == 0 ? 0 : random.nextInt(Math.min(2 * mean, MAX_BODY_BYTES) + 1);
         }
     }
 }
--- a/lab/src/test/java/vetchrill/model/EventQueueTest.java
+++ b/lab/src/test/java/vetchrill/model/EventQueueTest.java
@@ -18,44 +18,44 @@
 
         @Override
         public void execute(long now) {
-            throw new AssertionError("not played here");
+            throw new AssertionError("events are not executed in this test");
         }
     }
 
-    /** Near, far, of one time, and long after a silence: the wheel gives what the heap gives. */
-    public void theWheelGivesEventsInTheOrderOfTheHeap() {
-        SplittableRandom chance = new SplittableRandom(5);
+    /** Near and far events, some of equal times, some around the size of the wheel. */
+    public void pollsEventsInTheOrderOfTheHeap() {
+        SplittableRandom random = new SplittableRandom(5);
         TimingWheelQueue wheel = new TimingWheelQueue();
         HeapEventQueue heap = new HeapEventQueue();
         for (int i = 0; i < 200_000; i++) {
-            if (chance.nextInt(100) < 55) {
-                long ahead = switch (chance.nextInt(5)) {
+            if (random.nextInt(100) < 55) {
+                long ahead = switch (random.nextInt(5)) {
                     case 0 -> 0;
-                    case 1 -> chance.nextInt(3);
-                    case 2 -> chance.nextInt(2_000);
-                    case 3 -> chance.nextInt(200_000);
-                    default -> 65_535 + chance.nextInt(3);
+                    case 1 -> random.nextInt(3);
+                    case 2 -> random.nextInt(2_000);
+                    case 3 -> random.nextInt(200_000);
+                    default -> 65_535 + random.nextInt(3);
                 };
                 wheel.add(wheel.now() + ahead, new Numbered(i));
                 heap.add(heap.now() + ahead, new Numbered(i));
             } else {
                 Numbered got = (Numbered) wheel.poll();
-                Numbered wanted = (Numbered) heap.poll();
-                if (wanted == null) {
+                Numbered expected = (Numbered) heap.poll();
+                if (expected == null) {
                     assertNull(got);
                 } else {
-                    assertEquals(got.which, wanted.which, "event " + i);
+                    assertEquals(got.which, expected.which, "event " + i);
                     assertEquals(wheel.now(), heap.now());
                 }
             }
         }
-        for (Event wanted = heap.poll(); wanted != null; wanted = heap.poll()) {
-            assertEquals(((Numbered) wheel.poll()).which, ((Numbered) wanted).which);
+        for (Event expected = heap.poll(); expected != null; expected = heap.poll()) {
+            assertEquals(((Numbered) wheel.poll()).which, ((Numbered) expected).which);
         }
         assertNull(wheel.poll());
     }
 
-    public void whatIsAddedForThePastComesNext() {
+    public void pollsAnEventAddedForThePastNext() {
         TimingWheelQueue wheel = new TimingWheelQueue();
         Event late = new Numbered(1);
         wheel.add(500, new Numbered(0));
--- a/lab/src/test/java/vetchrill/model/StubPolicyTest.java
+++ b/lab/src/test/java/vetchrill/model/StubPolicyTest.java
@@ -14,13 +14,14 @@
 public class StubPolicyTest {
     private final boolean[] listed = {true, true, true};
 
-    private StubPolicy chooser(BalancingPolicy habit, RetryPolicy retry, double heed) {
-        StubPolicy.InstanceDirectory roster = StubPolicy.InstanceDirectory.of(listed);
-        return new StubPolicy(new Fleet.StubPool("p", 1, habit, retry, 2, 0, 0, heed, ""), 0, roster, new int[3],
-                new SplittableRandom(1));
+    private StubPolicy policy(BalancingPolicy balancing, RetryPolicy retry, double followsRetryAfterRatio) {
+        StubPolicy.InstanceDirectory directory = StubPolicy.InstanceDirectory.of(listed);
+        return new StubPolicy(
+                new Fleet.StubPool("p", 1, balancing, retry, 2, 0, 0, followsRetryAfterRatio, ""), 0, directory,
+                new int[3], new SplittableRandom(1));
     }
 
-    private static ClientRequest asking(long subject) {
+    private static ClientRequest request(long subject) {
         return new ClientRequest(0, 0, subject, 1, 1, 0, 10_000);
     }
 
@@ -28,40 +29,40 @@
     private static final Fleet.Group WRITE = new Fleet.Group("w", Fleet.Effect.MUTATING, 1, 1, 1, 0, 1, 1, 0, 1, 1, 0,
             0);
 
-    public void oneSubjectGoesToOneRelayUntilThatIsGone() {
-        StubPolicy chooser = chooser(BalancingPolicy.SUBJECT, RetryPolicy.NONE, 1);
-        int first = chooser.choose(asking(77), 0);
-        assertEquals(chooser.choose(asking(77), 0), first);
+    public void sendsASubjectToOneInstanceWhileItIsListed() {
+        StubPolicy policy = policy(BalancingPolicy.SUBJECT, RetryPolicy.NONE, 1);
+        int first = policy.choose(request(77), 0);
+        assertEquals(policy.choose(request(77), 0), first);
         listed[first] = false;
-        assertNotEquals(chooser.choose(asking(77), 0), first);
+        assertNotEquals(policy.choose(request(77), 0), first);
         listed[first] = true;
     }
 
-    public void aMutatingExchangeThatMayHaveRunIsNotSentAgain() {
-        StubPolicy chooser = chooser(BalancingPolicy.ROUND, RetryPolicy.UNLIMITED, 0);
-        ClientRequest asking = asking(1);
-        chooser.onSent(asking, 0);
-        assertEquals(chooser.nextAttemptAt(asking, WRITE, 0, Answer.RESET, 0, false, 5), -1);
-        assertEquals(chooser.nextAttemptAt(asking, READ, 0, Answer.RESET, 0, false, 5), 5);
-        assertEquals(chooser.nextAttemptAt(asking, WRITE, 0, Answer.DENIED, 0, false, 5), 5);
+    public void doesNotRetryAMutatingExchangeThatMayHaveRun() {
+        StubPolicy policy = policy(BalancingPolicy.ROUND, RetryPolicy.UNLIMITED, 0);
+        ClientRequest request = request(1);
+        policy.onSent(request, 0);
+        assertEquals(policy.nextAttemptAt(request, WRITE, 0, Answer.RESET, 0, false, 5), -1);
+        assertEquals(policy.nextAttemptAt(request, READ, 0, Answer.RESET, 0, false, 5), 5);
+        assertEquals(policy.nextAttemptAt(request, WRITE, 0, Answer.DENIED, 0, false, 5), 5);
     }
 
-    public void whoeverHeedsAdviceKeepsAwayAsLongAsItSays() {
-        StubPolicy chooser = chooser(BalancingPolicy.SUBJECT, RetryPolicy.LIMITED, 1);
-        ClientRequest asking = asking(77);
-        int first = chooser.choose(asking, 0);
-        chooser.onSent(asking, first);
-        chooser.nextAttemptAt(asking, READ, first, Answer.DENIED, 500, false, 0);
-        assertNotEquals(chooser.choose(asking(77), 499), first);
-        assertEquals(chooser.choose(asking(77), 501), first);
+    public void avoidsAnInstanceForTheRetryAfterDelay() {
+        StubPolicy policy = policy(BalancingPolicy.SUBJECT, RetryPolicy.LIMITED, 1);
+        ClientRequest request = request(77);
+        int first = policy.choose(request, 0);
+        policy.onSent(request, first);
+        policy.nextAttemptAt(request, READ, first, Answer.DENIED, 500, false, 0);
+        assertNotEquals(policy.choose(request(77), 499), first);
+        assertEquals(policy.choose(request(77), 501), first);
     }
 
-    public void limitedRetriesEnd() {
-        StubPolicy chooser = chooser(BalancingPolicy.ROUND, RetryPolicy.LIMITED, 1);
-        ClientRequest asking = asking(1);
-        chooser.onSent(asking, 0);
-        assertEquals(chooser.nextAttemptAt(asking, READ, 0, Answer.DENIED, 0, false, 0), 0);
-        chooser.onSent(asking, 1);
-        assertEquals(chooser.nextAttemptAt(asking, READ, 1, Answer.DENIED, 0, false, 0), -1);
+    public void stopsAfterTheMaximumOfAttempts() {
+        StubPolicy policy = policy(BalancingPolicy.ROUND, RetryPolicy.LIMITED, 1);
+        ClientRequest request = request(1);
+        policy.onSent(request, 0);
+        assertEquals(policy.nextAttemptAt(request, READ, 0, Answer.DENIED, 0, false, 0), 0);
+        policy.onSent(request, 1);
+        assertEquals(policy.nextAttemptAt(request, READ, 1, Answer.DENIED, 0, false, 0), -1);
     }
 }
