--- a/lab/src/main/java/vetchrill/planner/FittedModel.java
+++ b/lab/src/main/java/vetchrill/planner/FittedModel.java
@@ -49,9 +49,12 @@
     /** Minimum number of readings of one instance for its speed to be compared. */
     private static final int MIN_OUTLIER_ROWS = 30;
 
+    /** The configured fleet with the fitted values. */
     public final Fleet fleet;
+    /** The captured workload, as a rate over time with random core times, subjects and sizes. */
     public final Workload workload;
     public final CaptureMerge merged;
+    /** All inputs with their sources. */
     public final List<InputValue> values = new ArrayList<>();
     public final List<String> remarks = new ArrayList<>();
     /** Attempts per first attempt, estimated from the rows. */
@@ -89,8 +92,7 @@
         values.add(new InputValue("first tries", loadPerSecond, loadPerSecond - margin, loadPerSecond + margin, "1/s",
                 InputValue.SOURCE_CAPTURE));
         values.add(new InputValue("tries for each first try", attemptsPerExchange, attemptsPerExchange,
-                attemptsPerExchange / (1 - merged.falseRetryRatio), "",
-                InputValue.SOURCE_CAPTURE));
+                attemptsPerExchange / (1 - merged.falseRetryRatio), "", InputValue.SOURCE_CAPTURE));
         LoadProfile profile = new LoadProfile(merged, scale);
         values.add(new InputValue("counts of half a second, variance for the mean", profile.dispersion,
                 profile.dispersion, profile.dispersion, "", InputValue.SOURCE_CAPTURE));
--- a/lab/src/main/java/vetchrill/planner/FleetSizer.java
+++ b/lab/src/main/java/vetchrill/planner/FleetSizer.java
@@ -45,7 +45,7 @@
 
     /** Searches all kinds and mixes of two kinds, and reports the cheapest fleet that meets the goal. */
     public Report find() {
-        Report report = new Report("Instances for " + goal.name());
+        Report report = new Report("Relays for " + goal.name());
         double loadPerSecond = inputs.loadPerSecond() * goal.loadFactor(inputs.loadPerSecond());
         report.addRemark(String.format(Locale.ROOT,
                 "goal: %.1f%% of the benefit within the SLO time at %.1f first attempts per second%s",
@@ -77,8 +77,8 @@
         } else {
             addSizes(report, cheapest, sufficient);
         }
-        Report.Table table = report.addTable("All simulated sizes", "relays", "by kind", "price", "service", "from",
-                "to", "worst with");
+        Report.Table table = report.addTable("All sizes that were played", "relays", "by kind", "price", "service",
+                "from", "to", "worst with");
         resultsByCounts.values().stream().sorted((a, b) -> a.instanceCount() - b.instanceCount())
                 .forEach(result -> table.addRow(result.instanceCount(),
                 describe(result.countsByKind), result.price, result.service.mean(), result.service.low(),
@@ -90,20 +90,20 @@
 
     private void addSizes(Report report, SizeResult cheapest, List<SizeResult> sufficient) {
         Fleet fleet = buildFleet(cheapest.countsByKind);
-        Report.Table table = report.addTable("Instances needed", "zone", "relays");
+        Report.Table table = report.addTable("Relays wanted", "zone", "relays");
         for (Zone zone : fleet.zones) {
             table.addRow(zone.name(), describe(zone.instancesByKind()));
         }
         table.addRow("all", describe(cheapest.countsByKind));
-        Report.Table alternatives = report.addTable("Smallest sufficient size of each kind or mix", "by kind", "relays",
-                "price", "service", "from", "to");
+        Report.Table alternatives = report.addTable("The cheapest of each way", "by kind", "relays", "price", "service",
+                "from", "to");
         for (SizeResult result : sufficient) {
             alternatives.addRow(describe(result.countsByKind), result.instanceCount(), result.price,
                     result.service.mean(), result.service.low(), result.service.high());
         }
         String kind = cheapest.countsByKind.entrySet().stream().max(Map.Entry.comparingByValue()).orElseThrow()
                 .getKey();
-        Report.Table neighbours = report.addTable("One instance of kind " + kind + " less or more", "relays", "service",
+        Report.Table neighbours = report.addTable("One relay of kind " + kind + " less or more", "relays", "service",
                 "from", "to", "meets the goal");
         for (int offset = -1; offset <= 1; offset++) {
             Map<String, Integer> countsByKind = new LinkedHashMap<>(cheapest.countsByKind);
--- a/lab/src/main/java/vetchrill/planner/LimitFinder.java
+++ b/lab/src/main/java/vetchrill/planner/LimitFinder.java
@@ -43,6 +43,7 @@
     private final PlanInputs inputs;
     private final SimulationRunner runner;
     private final List<Limit> limits = new ArrayList<>();
+    /** Filled by {@link #find}. */
     public final List<LimitResult> results = new ArrayList<>();
     private final List<ConfidenceInterval> services = new ArrayList<>();
     private final List<Double> servicesByLaws = new ArrayList<>();
@@ -153,7 +154,7 @@
                         result.currentUse);
             }
         }
-        Report.Table comparison = report.addTable("Service by load: simulation and operational laws",
+        Report.Table comparison = report.addTable("Service by load: the model beside the first cut by operational laws",
                 "load, 1/s", "times the load of now", "service", "from", "to", "by laws", "apart");
         Report.Chart chart = report.addChart("Service by load", "first attempts per second",
                 "benefit within the SLO time");
--- a/lab/src/main/java/vetchrill/planner/PlanInputs.java
+++ b/lab/src/main/java/vetchrill/planner/PlanInputs.java
@@ -7,10 +7,10 @@
 
 /** The inputs of a plan: the complete fleet, its workload, and the source of each value. */
 public final class PlanInputs {
-    public final Fleet fleet;
-    /** Title of the table of inputs at the end of each report. */
-    public static final String TABLE_TITLE = "Inputs of this plan";
+    /** Title of the table of inputs at the end of each report; readers of the JSON output find the table by it. */
+    public static final String TABLE_TITLE = "What this rests on";
 
+    public final Fleet fleet;
     private final FittedModel fittedModel;
     public final List<InputValue> values = new ArrayList<>();
     public final List<String> remarks = new ArrayList<>();
--- a/lab/src/main/java/vetchrill/planner/SimulationRunner.java
+++ b/lab/src/main/java/vetchrill/planner/SimulationRunner.java
@@ -49,6 +49,7 @@
         return simulate(fleet, workload, span);
     }
 
+    /** Runs one simulation of the given length per seed. */
     public List<SimulationResult> simulate(Fleet fleet, Workload workload, long span) {
         return runTasks(seedCount, seed -> new FleetSimulation(fleet, workload, span, countedFrom, 1_000 + seed,
                 new TimingWheelQueue()).run());
--- a/lab/src/main/java/vetchrill/tool/CaptureCommand.java
+++ b/lab/src/main/java/vetchrill/tool/CaptureCommand.java
@@ -25,7 +25,7 @@
             System.out.printf("%-28s %-6s %-12s %-8s %9d %7d %6d %s%n", capture.file.getFileName(), capture.name,
                     capture.zone, capture.kind, capture.rows, capture.gaugeRows, capture.droppedRows,
                     capture.complete ? "complete"
-                            : capture.cutBytes > 0 ? "truncated, " + capture.cutBytes + " bytes ignored" : "truncated");
+                            : capture.cutBytes > 0 ? "cut, " + capture.cutBytes + " bytes ignored" : "cut");
         }
         CaptureMerge merged = new CaptureMerge(captures);
         System.out.printf("merged: %d exchanges in %.1f s, an estimated %.0f of them first attempts%n", merged.rows,
--- a/lab/src/test/java/vetchrill/tool/PlannedAgainstMeasuredTest.java
+++ b/lab/src/test/java/vetchrill/tool/PlannedAgainstMeasuredTest.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 import vetchrill.capture.Capture;
+import vetchrill.capture.CaptureException;
 import vetchrill.fleet.Fleet;
 import vetchrill.fleet.FleetFileReader;
 import vetchrill.fleet.Fault;
@@ -52,9 +53,8 @@
         FittedModel model = fitModel();
         try (SimulationRunner runner = new SimulationRunner(4, 3, 180_000, 50_000, () -> { })) {
             assertTrue(runner.meanService(runner.simulate(model.fleet, model.scaledBy(0.6))).mean() > 0.99);
-            assertTrue(runner.meanService(runner.simulate(model.fleet.withFaults(List.of(new Fault.Burst(0, 180_000,
-                    2))),
-                    model.workload)).mean() < 0.6);
+            assertTrue(runner.meanService(runner.simulate(
+                    model.fleet.withFaults(List.of(new Fault.Burst(0, 180_000, 2))), model.workload)).mean() < 0.6);
         }
     }
 
@@ -63,7 +63,7 @@
         Fleet other = fleet.withZones(fleet.zones.subList(0, 2));
         try {
             new FittedModel(other, Capture.readAll(Path.of("src/test/resources/captures/full")));
-        } catch (vetchrill.capture.CaptureException e) {
+        } catch (CaptureException e) {
             assertTrue(e.getMessage().endsWith("is of zone 'isafjordur', which is not in the fleet file"),
                     e.getMessage());
             return;
