--- a/fuzz/src/main/java/vetchrill/fuzz/FuzzCommand.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/FuzzCommand.java
@@ -14,6 +14,7 @@
 import picocli.CommandLine.Parameters;
 import vetchrill.tool.ToolCommand;
 
+/** The command {@code fuzz}: runs the coverage-guided fuzzer on one or all targets. */
 @Command(name = "fuzz", mixinStandardHelpOptions = true,
         description = "Fuzz the parsers, the decision module and the whole chain, and check their "
                 + "invariants. "
--- a/fuzz/src/main/java/vetchrill/fuzz/FuzzedDataProvider.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/FuzzedDataProvider.java
@@ -9,10 +9,12 @@
         this.input = input;
     }
 
+    /** Whether all bytes of the input have been read. */
     public boolean isExhausted() {
         return position >= input.length;
     }
 
+    /** The next byte, from 0 to 255. */
     public int nextUnsignedByte() {
         return position < input.length ? input[position++] & 0xff : 0;
     }
--- a/fuzz/src/main/java/vetchrill/fuzz/Fuzzer.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/Fuzzer.java
@@ -24,6 +24,12 @@
     private static final long MAX_EXECUTION_NS = 5_000_000_000L;
     private static final int MAX_FINDINGS = 3;
 
+    /** Minimising removes bytes in up to this many executions, then replaces bytes by zeros up to the total. */
+    private static final int MAX_REMOVAL_ATTEMPTS = 4_000;
+    private static final int MAX_MINIMISE_ATTEMPTS = 6_000;
+    /** One in three inputs to mutate is one of this many that were added last. */
+    private static final int NEWEST_INPUTS = 8;
+
     private final Target target;
     private final SplittableRandom random;
     private final Strategy strategy;
@@ -75,8 +81,8 @@
         if (strategy == Strategy.RANDOM || corpus.isEmpty()) {
             return Mutations.random(random);
         }
-        // One in three inputs is one of the 8 newest of the corpus, since these lead to new coverage most often.
-        int index = random.nextInt(3) == 0 ? corpus.size() - 1 - random.nextInt(Math.min(8, corpus.size()))
+        // The newest inputs are chosen more often, since they lead to new coverage most often.
+        int index = random.nextInt(3) == 0 ? corpus.size() - 1 - random.nextInt(Math.min(NEWEST_INPUTS, corpus.size()))
                 : random.nextInt(corpus.size());
         byte[] base = corpus.get(index);
         if (random.nextInt(2) == 0) {
@@ -123,22 +129,22 @@
     public static byte[] minimise(Target target, byte[] input, String problem) {
         byte[] best = input;
         int attempts = 0;
-        for (int size = Math.max(1, best.length / 2); size > 0 && attempts < 4_000; size /= 2) {
-            for (int at = 0; at + size <= best.length && attempts < 4_000;) {
-                byte[] shorter = Mutations.replace(best, at, size, new byte[0]);
+        for (int size = Math.max(1, best.length / 2); size > 0 && attempts < MAX_REMOVAL_ATTEMPTS; size /= 2) {
+            for (int offset = 0; offset + size <= best.length && attempts < MAX_REMOVAL_ATTEMPTS;) {
+                byte[] shorter = Mutations.replace(best, offset, size, new byte[0]);
                 attempts++;
                 if (problem.equals(problemOf(target, shorter))) {
                     best = shorter;
                 } else {
-                    at += size;
+                    offset += size;
                 }
             }
         }
-        for (int at = 0; at < best.length && attempts < 6_000; at++) {
+        for (int offset = 0; offset < best.length && attempts < MAX_MINIMISE_ATTEMPTS; offset++) {
             byte[] zeroed = best.clone();
-            zeroed[at] = 0;
+            zeroed[offset] = 0;
             attempts++;
-            if (best[at] != 0 && problem.equals(problemOf(target, zeroed))) {
+            if (best[offset] != 0 && problem.equals(problemOf(target, zeroed))) {
                 best = zeroed;
             }
         }
@@ -163,6 +169,7 @@
         return distilled;
     }
 
+    /** The initial inputs and the inputs added since that reach new probes. */
     public List<byte[]> corpus() {
         return corpus;
     }
--- a/fuzz/src/main/java/vetchrill/fuzz/LifeCommand.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/LifeCommand.java
@@ -6,8 +6,9 @@
 import java.util.stream.IntStream;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import vetchrill.fuzz.chain.LifecycleWalk;
+import vetchrill.fuzz.chain.LifecyclePathExplorer;
 
+/** The command {@code fuzz life}: plays every path of {@link LifecyclePathExplorer} of a given length. */
 @Command(name = "life", mixinStandardHelpOptions = true,
         description = "Explore every sequence of events of one exchange, up to a length, on the real chain.")
 final class LifeCommand implements Callable<Integer> {
@@ -24,8 +25,8 @@
             throw new vetchrill.tool.UsageException("--depth should be 1 to 7");
         }
         System.setProperty("vetchrill.log.level", "OFF");
-        LifecycleWalk walk = new LifecycleWalk();
-        pathCount = LifecycleWalk.pathCount(depth);
+        LifecyclePathExplorer explorer = new LifecyclePathExplorer();
+        pathCount = LifecyclePathExplorer.pathCount(depth);
         AtomicLong next = new AtomicLong();
         java.util.concurrent.ConcurrentSkipListMap<Long,
                 String> findings = new java.util.concurrent.ConcurrentSkipListMap<>();
@@ -33,13 +34,13 @@
             for (long path = next.getAndIncrement(); path < pathCount
                     && findings.size() < 20; path = next.getAndIncrement()) {
                 try {
-                    walk.walk(depth, path);
+                    explorer.walk(depth, path);
                 } catch (RuntimeException e) {
                     findings.put(path, String.valueOf(e.getMessage() == null ? e.toString() : e.getMessage()));
                 }
             }
         });
-        stateCount = walk.stateCount();
+        stateCount = explorer.stateCount();
         findings.values().stream().limit(20).forEach(System.out::println);
         System.out.printf(Locale.ROOT, "life: depth=%d paths=%d states=%d findings=%d%n", depth, pathCount, stateCount,
                 findings.size());
--- a/fuzz/src/main/java/vetchrill/fuzz/MeasureAuditCommand.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/MeasureAuditCommand.java
@@ -110,8 +110,8 @@
             runFileComparison();
         }
         runRandomSchedules();
-        VersionsPathExplorer walk = new VersionsPathExplorer();
-        runWalk(walk);
+        VersionsPathExplorer explorer = new VersionsPathExplorer();
+        runWalk(explorer);
         FaultsCommand plantedFaults = null;
         if (secondsPerFault > 0) {
             plantedFaults = new FaultsCommand();
@@ -126,7 +126,7 @@
                 misattributed, forks, belowMinVersion, publishTimesMs.isEmpty() ? "none"
                 : publishTimesMs.get((int) Math.min(publishTimesMs.size() - 1, 0.99 * publishTimesMs.size())),
                 maxFenceOverLeaseMs, randomSchedules,
-                walk.stateCount(), plantedFaults == null ? 0 : plantedFaults.planted,
+                explorer.stateCount(), plantedFaults == null ? 0 : plantedFaults.planted,
                 plantedFaults == null ? 0 : plantedFaults.found);
         return failures.isEmpty() ? 0 : 1;
     }
@@ -153,19 +153,19 @@
         System.out.printf("schedules: %d drawn%n", randomSchedules);
     }
 
-    private void runWalk(VersionsPathExplorer walk) {
+    private void runWalk(VersionsPathExplorer explorer) {
         long paths = VersionsPathExplorer.pathCount(walkDepth);
         AtomicLong next = new AtomicLong();
         IntStream.range(0, Runtime.getRuntime().availableProcessors()).parallel().forEach(thread -> {
             for (long path = next.getAndIncrement(); path < paths
                     && failures.size() < 20; path = next.getAndIncrement()) {
                 try {
-                    walk.runPath(walkDepth, path);
+                    explorer.runPath(walkDepth, path);
                 } catch (VersionsSimulation.InvariantViolation e) {
                     failures.add(e.getMessage());
                 }
             }
         });
-        System.out.printf("walk: depth=%d paths=%d states=%d%n", walkDepth, paths, walk.stateCount());
+        System.out.printf("walk: depth=%d paths=%d states=%d%n", walkDepth, paths, explorer.stateCount());
     }
 }
--- a/fuzz/src/main/java/vetchrill/fuzz/MeasureFuzzCommand.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/MeasureFuzzCommand.java
@@ -7,6 +7,9 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
+/**
+ * The command {@code fuzz measure}: prints the results of planted faults, fuzzing and the lifecycle walk in one line.
+ */
 @Command(name = "measure", mixinStandardHelpOptions = true, hidden = true,
         description = "Measure the fuzzer: how many of the planted faults it finds, "
                 + "and what it finds in the product.")
--- a/fuzz/src/main/java/vetchrill/fuzz/Target.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/Target.java
@@ -5,6 +5,7 @@
 
 /** A fuzz target: runs a part of the product on an input and checks the invariants that hold for every input. */
 public interface Target {
+    /** The name of the target on the command line and of its corpus folder. */
     String name();
 
     /** The classes under test; the tests fail for a parser that no target covers. */
--- a/fuzz/src/main/java/vetchrill/fuzz/chain/ChainSimulation.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/chain/ChainSimulation.java
@@ -51,6 +51,9 @@
     static final long DEDUP_WINDOW_TENTHS_MS = 20_000;
     /** More events than this mean that the chain is in an endless loop. */
     private static final int MAX_EVENTS = 400_000;
+    private static final int MAX_OPEN_PER_STUB = 32;
+    /** Period at which the state of the link and of closing connections is checked. */
+    private static final long POLL_INTERVAL_TENTHS_MS = 50;
     private static final String SETTINGS = "{\"categories\":["
             + "{\"name\":\"look\",\"effect\":\"free\",\"aimMs\":400,\"deadlineMs\":1000,\"gain\":1},"
             + "{\"name\":\"note\",\"effect\":\"single_shot\",\"aimMs\":600,\"deadlineMs\":1600,\"gain\":3},"
@@ -115,8 +118,7 @@
             }
         };
         chain = new ProcessingChain(new DeploymentReader(SETTINGS), 7, clock, decisionThread, reports, limits, null,
-                this::startReader,
-                this::startWriter);
+                this::startReader, this::startWriter);
         link = chain.prepare(address(1), this::openLink);
         maintainLink();
         schedule(1_000, this::reportHealth);
@@ -217,29 +219,29 @@
 
     /** Starts a reader task, which gets a step whenever there is something to read, until it ends. */
     private void startReader(IoTask task) {
-        SimChannel pipe = (SimChannel) task.channel();
-        pipe.reader = task;
-        pipe.accepted = true;
-        scheduleRead(pipe);
+        SimChannel channel = (SimChannel) task.channel();
+        channel.reader = task;
+        channel.accepted = true;
+        scheduleRead(channel);
     }
 
     /** Schedules a step of the reader of a channel that has become readable. */
-    void scheduleRead(SimChannel pipe) {
-        if (pipe.reader != null) {
-            schedule(now() + randomDelay() / 4, () -> runReader(pipe));
+    void scheduleRead(SimChannel channel) {
+        if (channel.reader != null) {
+            schedule(now() + randomDelay() / 4, () -> runReader(channel));
         }
     }
 
-    private void runReader(SimChannel pipe) {
-        if (finished || pipe.reader == null || !pipe.readable()) {
+    private void runReader(SimChannel channel) {
+        if (finished || channel.reader == null || !channel.readable()) {
             return;
         }
-        if (!pipe.reader.step()) {
-            pipe.reader = null;
-        } else if (pipe.readable()) {
-            scheduleRead(pipe);
+        if (!channel.reader.step()) {
+            channel.reader = null;
+        } else if (channel.readable()) {
+            scheduleRead(channel);
         }
-        if (pipe.peer instanceof SimStub stub) {
+        if (channel.peer instanceof SimStub stub) {
             stub.recordConsumed(now());
         }
     }
@@ -250,12 +252,12 @@
     }
 
     private void runWriter(IoTask task) {
-        SimChannel pipe = (SimChannel) task.channel();
+        SimChannel channel = (SimChannel) task.channel();
         if (finished) {
             return;
         }
-        if (now() < pipe.writesStalledUntil && !pipe.closed) {
-            schedule(pipe.writesStalledUntil, () -> runWriter(task));
+        if (now() < channel.writesStalledUntil && !channel.closed) {
+            schedule(channel.writesStalledUntil, () -> runWriter(task));
         } else if (task.step()) {
             startWriter(task);
         }
@@ -285,16 +287,16 @@
         });
     }
 
-    private void watchLink(long since) {
+    private void watchLink(long connectedAt) {
         if (finished) {
             return;
         }
         if (link.isReconnectNeeded()) {
             linkOpen = false;
-            link.connectionEnded(now() - since);
+            link.connectionEnded(now() - connectedAt);
             maintainLink();
         } else {
-            schedule(now() + 50, () -> watchLink(since));
+            schedule(now() + POLL_INTERVAL_TENTHS_MS, () -> watchLink(connectedAt));
         }
     }
 
@@ -331,7 +333,7 @@
             case 8 -> sendInvalidFrame(stub, StubFrames.frame(b, c, new byte[c % 50]));
             case 9 -> sendInvalidFrame(stub, new byte[] {0, (byte) (b % 5), (byte) c, 7, 2, 0, 0, 0, 1, 3});
             case 10 -> sendInvalidFrame(stub, new byte[] {(byte) b, (byte) c, 0, 0, 0});
-            case 11 -> stub.endInput();
+            case 11 -> stub.halfClose();
             case 12 -> {
                 stub.reset();
                 stubBySlot.remove(a % 4);
@@ -392,9 +394,10 @@
         }
     }
 
+    /** The stub connection in a slot; opens a new one if there is none that accepts exchanges. */
     SimStub stubAt(int slot) {
         SimStub stub = stubBySlot.get(slot);
-        if (stub == null || stub.disconnected || stub.inputEnded || stub.goAwayReceived || stub.channel.closed) {
+        if (stub == null || stub.disconnected || stub.halfClosed || stub.goAwayReceived || stub.channel.closed) {
             stub = new SimStub(this);
             stubBySlot.put(slot, stub);
             stubs.add(stub);
@@ -409,7 +412,7 @@
 
     ExchangeOracle.TrackedExchange sendExchange(SimStub stub, int kind, int size) {
         if (stub.disconnected || stub.exchangesByStream.values().stream().filter(ex -> ex.answerCount == 0).count()
-                >= 32) {
+                >= MAX_OPEN_PER_STUB) {
             return null;
         }
         byte[] body = new byte[size % 60];
@@ -423,8 +426,7 @@
     private ExchangeOracle.TrackedExchange sendExchange(SimStub stub, int group, byte[] body,
             ExchangeOracle.TrackedExchange firstAttempt) {
         ExchangeOracle.TrackedExchange ex = new ExchangeOracle.TrackedExchange(String.format("%016x", ++lastId), group,
-                body, stub, ++stub.lastStream, now(),
-                ANSWER_TIMEOUTS_TENTHS_MS[group]);
+                body, stub, ++stub.lastStream, now(), ANSWER_TIMEOUTS_TENTHS_MS[group]);
         ex.exempt = stub.stalled;
         ex.token = firstAttempt == null ? ex.id : firstAttempt.token;
         stub.sendExchange(ex, exchangeFrame(ex, group));
@@ -432,10 +434,9 @@
     }
 
     private byte[] exchangeFrame(ExchangeOracle.TrackedExchange ex, int group) {
-        return StubFrames.frame(StubFrames.EXCHANGE, ex.stream,
-                StubFrames.payload(ex.body, "method", GROUP_NAMES[group],
-                "rid", ex.id, "t0", Long.toString((EPOCH_TENTHS_MS + now() + wallClockOffset) / 10), "peer", "4",
-                "acct", "acme", "mem",
+        return StubFrames.frame(StubFrames.EXCHANGE, ex.stream, StubFrames.payload(ex.body, "method",
+                GROUP_NAMES[group], "rid", ex.id, "t0",
+                Long.toString((EPOCH_TENTHS_MS + now() + wallClockOffset) / 10), "peer", "4", "acct", "acme", "mem",
                 "24.5", "prio", "0.5", "token", ex.token));
     }
 
@@ -445,7 +446,8 @@
                 .filter(ex -> ex.deduplicated() && !ex.invalid && ex.sentAt > now() - RETRY_WINDOW_TENTHS_MS)
                 .toList();
         if (!retryable.isEmpty() && !stub.disconnected
-                && stub.exchangesByStream.values().stream().filter(ex -> ex.answerCount == 0).count() < 32) {
+                && stub.exchangesByStream.values().stream().filter(ex -> ex.answerCount == 0).count()
+                < MAX_OPEN_PER_STUB) {
             ExchangeOracle.TrackedExchange firstAttempt = retryable.get(b % retryable.size());
             sendExchange(stub, firstAttempt.group, firstAttempt.body, firstAttempt);
         }
@@ -473,15 +475,14 @@
     /** Sends another exchange with the id of an open one, on another connection and with another body. */
     private void sendDuplicateId(SimStub stub, int b) {
         List<ExchangeOracle.TrackedExchange> open = oracle.exchanges.stream()
-                .filter(ex -> ex.answerCount == 0 && !ex.exempt && !ex.invalid
-                && !ex.afterInvalidFrame && ex.stub != stub && ex.consumedAt >= 0).toList();
+                .filter(ex -> ex.answerCount == 0 && !ex.exempt && !ex.invalid && !ex.afterInvalidFrame
+                        && ex.stub != stub && ex.consumedAt >= 0).toList();
         if (!open.isEmpty() && !stub.disconnected) {
             ExchangeOracle.TrackedExchange original = open.get(b % open.size());
             stub.sentInvalid = true;
             ExchangeOracle.TrackedExchange duplicate = new ExchangeOracle.TrackedExchange(original.id, original.group,
                     new byte[] {1, 2, 3, (byte) (++duplicateCount >> 8), (byte) duplicateCount}, stub,
-                    ++stub.lastStream, now(),
-                    original.timeout);
+                    ++stub.lastStream, now(), original.timeout);
             duplicate.duplicateOf = original;
             duplicate.invalid = true;
             duplicate.token = duplicate.id + " of another";
@@ -500,28 +501,31 @@
             return;
         }
         if (stub.exchangesByStream.values().stream().allMatch(ex -> ex.answerCount > 0)) {
-            stub.endInput();
+            stub.halfClose();
         } else {
-            schedule(now() + 50, () -> closeOnceAnswered(stub));
+            schedule(now() + POLL_INTERVAL_TENTHS_MS, () -> closeOnceAnswered(stub));
         }
     }
 
+    /** Changes the configured address of the interpreter and of the membership service. */
     void moveInterpreter(int port) {
         chain.updateAddresses(address(1 + port % 3), address(9));
     }
 
+    /** Starts the drain of the instance; the simulation is finished when it ends. */
     void startDrain() {
         if (stopAt >= 0) {
             return;
         }
         stopAt = now() + DRAIN_DURATION_TENTHS_MS;
         oracle.drainStartedAt = now();
-        long unixStop = EPOCH_TENTHS_MS + stopAt;
-        for (DrainStep step : DrainStep.steps(limits, chain, unixStop - DRAIN_DURATION_TENTHS_MS, unixStop, () -> { },
+        long wallStopAt = EPOCH_TENTHS_MS + stopAt;
+        for (DrainStep step : DrainStep.steps(limits, chain, wallStopAt - DRAIN_DURATION_TENTHS_MS, wallStopAt,
+                () -> { },
                 () -> {
-            oracle.checkAllAnswered(true, stopAt);
-            finished = true;
-        })) {
+                    oracle.checkAllAnswered(true, stopAt);
+                    finished = true;
+                })) {
             schedule(Math.max(now(), step.at() - EPOCH_TENTHS_MS), step.action());
         }
     }
@@ -579,7 +583,7 @@
         for (int i = 0; i < MAX_SERVICE_PROBES; i++) {
             ExchangeOracle.TrackedExchange probe = sendExchange(stubAt(4 + i), 0, 5);
             runUntil(now() + 5_000);
-            if (probe != null && probe.answerCode == 79) {
+            if (probe != null && probe.answerCode == StubFrames.COMPLETED) {
                 return;
             }
         }
--- a/fuzz/src/main/java/vetchrill/fuzz/chain/ExchangeOracle.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/chain/ExchangeOracle.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import vetchrill.fuzz.InvariantViolation;
+import vetchrill.standin.StubFrames;
 
 /**
  * Checks the rules that the operators have stated for exchanges, such as one answer each, in time, and at most one run
@@ -25,6 +26,11 @@
     /** Time within which a writer has written its output, unless the peer does not read. */
     static final long WRITE_DELAY_TENTHS_MS = 100;
 
+    /** An exchange may take this long from the time at which it was read, even if its deadline is earlier. */
+    private static final long MIN_ANSWER_TIME_TENTHS_MS = 3_000;
+    /** An exchange read this shortly before the end of the drain may stay unanswered. */
+    private static final long STOP_RACE_TENTHS_MS = 900;
+
     /** An exchange as its stub sent it, and what has become of it. */
     static final class TrackedExchange {
         final String id;
@@ -119,7 +125,7 @@
                 && ex.sentAt <= each.sentAt + ChainSimulation.DEDUP_WINDOW_TENTHS_MS)) {
             throw new InvariantViolation("a deduplicated exchange runs twice");
         }
-        if (ex.answerCount > 0 && ex.answerCode == 66) {
+        if (ex.answerCount > 0 && ex.answerCode == StubFrames.DENIED) {
             throw new InvariantViolation("a rejected exchange is run");
         }
         if (drainStartedAt >= 0 && ex.sentAt > drainStartedAt + drainGrace + DEADLINE_SLACK_TENTHS_MS) {
@@ -154,14 +160,15 @@
         }
         ex.answerCode = code;
         ex.answeredAt = now;
-        if (code == 66 && ex.runCount > 0 && ex.mutating()) {
+        if (code == StubFrames.DENIED && ex.runCount > 0 && ex.mutating()) {
             throw new InvariantViolation("an exchange that has run is rejected");
         }
-        if (code == 66 && attempts(ex).stream().anyMatch(each -> each.runCount > 0 && each.firstRunAt < ex.sentAt
+        if (code == StubFrames.DENIED && attempts(ex).stream()
+                .anyMatch(each -> each.runCount > 0 && each.firstRunAt < ex.sentAt
                 && ex.sentAt <= each.sentAt + ChainSimulation.DEDUP_WINDOW_TENTHS_MS)) {
             throw new InvariantViolation("an exchange is rejected although an earlier attempt has run");
         }
-        if (code == 79) {
+        if (code == StubFrames.COMPLETED) {
             if (ex.invalid) {
                 throw new InvariantViolation("an invalid exchange is completed");
             }
@@ -201,7 +208,8 @@
     void checkDeadlines(long now) {
         for (TrackedExchange ex : exchanges) {
             if (ex.consumedAt >= 0 && ex.answerCount == 0 && !ex.exempt && !ex.invalid && !ex.afterInvalidFrame
-                    && now > Math.max(ex.sentAt + ex.timeout, ex.consumedAt + 3_000) + DEADLINE_SLACK_TENTHS_MS) {
+                    && now > Math.max(ex.sentAt + ex.timeout, ex.consumedAt + MIN_ANSWER_TIME_TENTHS_MS)
+                    + DEADLINE_SLACK_TENTHS_MS) {
                 throw new InvariantViolation("an exchange has no answer by its deadline");
             }
         }
@@ -210,7 +218,7 @@
     /** Checks at the end of a drain, or once the chain is idle, that every exchange has an answer. */
     void checkAllAnswered(boolean drained, long stopAt) {
         for (TrackedExchange ex : exchanges) {
-            boolean readJustBeforeStop = drained && ex.consumedAt > stopAt - 900;
+            boolean readJustBeforeStop = drained && ex.consumedAt > stopAt - STOP_RACE_TENTHS_MS;
             if (ex.consumedAt >= 0 && ex.answerCount == 0 && !ex.exempt && !ex.invalid && !ex.afterInvalidFrame
                     && !readJustBeforeStop) {
                 throw new InvariantViolation(drained ? "an exchange has no answer at the end of the drain"
--- a/fuzz/src/main/java/vetchrill/fuzz/chain/LifecycleWalk.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/chain/LifecyclePathExplorer.java
@@ -4,12 +4,13 @@
 import java.util.concurrent.ConcurrentHashMap;
 import vetchrill.fuzz.InvariantViolation;
 import vetchrill.peersim.VersionsPathExplorer;
+import vetchrill.standin.StubFrames;
 
 /**
  * Exhaustive exploration of the lifecycle of one mutating exchange: plays every sequence of actions up to a given
  * length on the real processing chain and checks the invariants after each action.
  */
-public final class LifecycleWalk {
+public final class LifecyclePathExplorer {
     /** What can happen to the exchange or around it. */
     public enum Action { CUT_LINK, DROP_APPLY, TOGGLE_CONNECT_REFUSAL, TOGGLE_BANNER, TOGGLE_GAUGES, END_RUNS,
             TOGGLE_DUPLICATE_NOTICES, RESTART_INTERPRETER, PASS_DEADLINE, RESET_STUB, MOVE_INTERPRETER, START_DRAIN,
@@ -99,7 +100,7 @@
                 + ex.runCount + ex.runEnded
                 + " " + ex.answerCount + "/" + ex.answerCode + " " + ex.stub.disconnected + " "
                 + (simulation.oracle.drainStartedAt >= 0));
-        if (ex.answerCode == 79 && !ex.runEnded) {
+        if (ex.answerCode == StubFrames.COMPLETED && !ex.runEnded) {
             throw new InvariantViolation("an exchange is completed before a run has ended");
         }
         if (ex.runCount > 1) {
--- a/fuzz/src/main/java/vetchrill/fuzz/chain/SimStub.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/chain/SimStub.java
@@ -13,6 +13,8 @@
 
 /** One connection of a client stub in the simulation: sends frames, and checks the frames that it gets. */
 final class SimStub implements SimChannel.Peer {
+    private static final int HEALTH_CHECK_ANSWER = 32;
+
     private final ChainSimulation simulation;
     private final ChainSimulation.DelayedStream toChain;
     final SimChannel channel = new SimChannel(this);
@@ -26,7 +28,7 @@
     int lastStream;
     boolean sentInvalid;
     boolean disconnected;
-    boolean inputEnded;
+    boolean halfClosed;
     /** Whether it has got a go-away frame: the instance accepts no new exchanges on this connection. */
     boolean goAwayReceived;
     /** Whether it once did not read for so long that answers can be late. */
@@ -54,8 +56,8 @@
         simulation.oracle.add(ex);
     }
 
-    void endInput() {
-        inputEnded = true;
+    void halfClose() {
+        halfClosed = true;
         toChain.runAfterPending(() -> {
             channel.endInput();
             simulation.scheduleRead(channel);
@@ -77,9 +79,8 @@
         lastReceivedAt = simulation.now();
         received = SimChannel.concatenate(received, bytes);
         while (received.length >= 4) {
-            int length =
-                    (received[0] & 0xff) << 24 | (received[1] & 0xff) << 16 | (received[2] & 0xff) << 8
-                            | received[3] & 0xff;
+            int length = (received[0] & 0xff) << 24 | (received[1] & 0xff) << 16 | (received[2] & 0xff) << 8
+                    | received[3] & 0xff;
             if (length < 5 || length > 8_192) {
                 throw new InvariantViolation("a malformed frame is sent to a stub");
             }
@@ -110,7 +111,7 @@
                     throw new InvariantViolation("an invalid exchange is completed");
                 }
             }
-            case 32 -> {
+            case HEALTH_CHECK_ANSWER -> {
                 if (openHealthChecks.merge(frame.stream(), -1, Integer::sum) < 0 && !sentInvalid) {
                     throw new InvariantViolation("a health check is answered twice");
                 }
@@ -128,7 +129,7 @@
             disconnected = true;
             simulation.oracle.onConnectionClosed(this, simulation.now());
             if (!sentInvalid) {
-                endInput();
+                halfClose();
             }
         }
     }
--- a/fuzz/src/main/java/vetchrill/fuzz/targets/TextTargets.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/targets/TextTargets.java
@@ -102,11 +102,11 @@
                 if (in.bytesRead > 4L * MembershipResponses.maxHeadBytes()) {
                     throw new InvariantViolation("an endless response is read without a limit");
                 }
-                onlyItsOwn(input);
+                checkKeepAlive(input);
             }
 
             /** Checks that responses on one connection are told apart by their lengths. */
-            private void onlyItsOwn(byte[] input) {
+            private void checkKeepAlive(byte[] input) {
                 String body = "x".repeat(input.length % 50);
                 String two = "HTTP/1.1 204 Told\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nX: y\r\ncontent-length: "
                         + body.length() + "\r\n\r\n" + body + "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n";
@@ -208,9 +208,9 @@
                 + " disposition=completed costTimeMs=20.5\nwind_down clientDeadlineMs=3000\ncommit\n") {
             @Override
             public void run(byte[] input) {
-                String whole = said(new ByteArrayInputStream(input));
+                String whole = runHost(new ByteArrayInputStream(input));
                 SplittableRandom random = new SplittableRandom(Arrays.hashCode(input));
-                String pieces = said(new ByteArrayInputStream(input) {
+                String pieces = runHost(new ByteArrayInputStream(input) {
                     @Override
                     public synchronized int read(byte[] buf, int from, int size) {
                         return super.read(buf, from, Math.min(size, 1 + random.nextInt(30)));
@@ -221,7 +221,7 @@
                 }
             }
 
-            private String said(InputStream in) {
+            private String runHost(InputStream in) {
                 ByteArrayOutputStream out = new ByteArrayOutputStream();
                 java.io.PrintStream err = System.err;
                 // A controller that fails reports it on the wire; the stack trace that it prints as well is discarded.
@@ -269,7 +269,7 @@
                         ConfigBlock root = ConfigBlock.parse("f", text);
                         if (i == 0) {
                             fleet = FleetFileReader.read(root);
-                            whole(fleet);
+                            checkComplete(fleet);
                         } else if (i == 1) {
                             CaptureConfig.readFrom(root);
                             root.check();
@@ -289,7 +289,7 @@
                 }
             }
 
-            private void whole(Fleet fleet) {
+            private void checkComplete(Fleet fleet) {
                 if (fleet.instanceCount() < 1 || fleet.stubCount() < 1 || fleet.groups.isEmpty()) {
                     throw new InvariantViolation("an incomplete fleet is accepted");
                 }
@@ -322,28 +322,28 @@
                     checkOneLine(e.getMessage());
                 }
                 // With a corrected checksum, corrupt content gets past the checksum check to the parser behind it.
-                byte[] mended = mended(input);
-                if (mended != null) {
+                byte[] corrected = withCorrectChecksum(input);
+                if (corrected != null) {
                     try {
-                        Capture.read(Path.of("c"), mended);
+                        Capture.read(Path.of("c"), corrected);
                     } catch (CaptureException e) {
                         checkOneLine(e.getMessage());
                     }
                 }
             }
 
-            private byte[] mended(byte[] input) {
+            private byte[] withCorrectChecksum(byte[] input) {
                 if (input.length < 17 || input[0] != 'V') {
                     return null;
                 }
                 byte[] out = input.clone();
                 int length = Math.min(input.length - 16, Math.max(1, (input[8] & 0xff) << 24 | (input[9] & 0xff) << 16
                         | (input[10] & 0xff) << 8 | input[11] & 0xff));
-                java.util.zip.CRC32C sum = new java.util.zip.CRC32C();
-                sum.update(out, 16, length);
+                java.util.zip.CRC32C checksum = new java.util.zip.CRC32C();
+                checksum.update(out, 16, length);
                 for (int i = 0; i < 4; i++) {
                     out[8 + i] = (byte) (length >>> 24 - 8 * i);
-                    out[12 + i] = (byte) ((int) sum.getValue() >>> 24 - 8 * i);
+                    out[12 + i] = (byte) ((int) checksum.getValue() >>> 24 - 8 * i);
                 }
                 return out;
             }
--- a/fuzz/src/main/java/vetchrill/program/StartConfigurations.java
+++ b/fuzz/src/main/java/vetchrill/program/StartConfigurations.java
@@ -12,6 +12,7 @@
         new StartConfiguration(environment);
     }
 
+    /** The class under test, which is not public. */
     public static Class<?> configurationClass() {
         return StartConfiguration.class;
     }
--- a/fuzz/src/main/java/vetchrill/protocol/MembershipResponses.java
+++ b/fuzz/src/main/java/vetchrill/protocol/MembershipResponses.java
@@ -14,6 +14,7 @@
         return response.keepAlive() ? response.status() : -response.status();
     }
 
+    /** The largest response head that the parser accepts. */
     public static int maxHeadBytes() {
         return 8 << 10;
     }
--- a/fuzz/src/main/java/vetchrill/routing/ProcessingChainState.java
+++ b/fuzz/src/main/java/vetchrill/routing/ProcessingChainState.java
@@ -10,6 +10,7 @@
         return chain.registry.openCount();
     }
 
+    /** Number of registered stub connections. */
     public static int connectionCount(ProcessingChain chain) {
         return chain.registry.connectionCount();
     }
