--- a/lab/src/main/java/vetchrill/peersim/VersionsSimulation.java
+++ b/lab/src/main/java/vetchrill/peersim/VersionsSimulation.java
@@ -172,7 +172,7 @@
     /** Opens the store of that instance as its process starts, and recovers its state. */
     private DurableState openStore(int index) {
         try {
-            powerLossDisks[index] = new PowerLossDisk(media[index], random.split(), SPILL_RATIO, call -> {
+            powerLossDisks[index] = new PowerLossDisk(media[index], random.split(), SPILL_RATIO, point -> {
                 if (diskFull[index]) {
                     throw new IOException("No space left on device");
                 }
--- a/lab/src/test/java/vetchrill/auditing/PowerLossTest.java
+++ b/lab/src/test/java/vetchrill/auditing/PowerLossTest.java
@@ -12,12 +12,12 @@
 @Test
 public class PowerLossTest {
     @DataProvider
-    public Object[][] plays() {
+    public Object[][] fleets() {
         return new Object[][] {{3, 3, 14, false, 1}, {5, 3, 10, true, 2}};
     }
 
     /** No acknowledged promise or version goes back, and altered disks are detected. */
-    @Test(dataProvider = "plays")
+    @Test(dataProvider = "fleets")
     public void committedStateNeverGoesBack(int size, int voters, int losses, boolean damageDisks, int seed)
             throws Exception {
         PowerLossScenario.Outcome outcome = PowerLossScenario.run(size, voters, losses, damageDisks, seed,
--- a/lab/src/test/java/vetchrill/powerloss/DurableStorePowerLossTest.java
+++ b/lab/src/test/java/vetchrill/powerloss/DurableStorePowerLossTest.java
@@ -23,7 +23,7 @@
     }
 
     private static final long CAPACITY_BYTES = DurableStore.MIN_CAPACITY_BYTES;
-    private static final PowerLossDisk.WritePointHook NO_FAULTS = call -> { };
+    private static final PowerLossDisk.WritePointHook NO_FAULTS = point -> { };
 
     /** The entries of all acknowledged commits, and those entries with the commit in progress applied. */
     private static final class ExpectedContent {
@@ -89,7 +89,7 @@
             SplittableRandom random = new SplittableRandom(seed);
             for (int powerLossPoint = 1; powerLossPoint < 400; powerLossPoint++) {
                 int[] pointsLeft = {powerLossPoint};
-                PowerLossDisk disk = new PowerLossDisk(media, random.split(), 0.3, call -> {
+                PowerLossDisk disk = new PowerLossDisk(media, random.split(), 0.3, point -> {
                     assertTrue(media.totalBytes() <= CAPACITY_BYTES, media.totalBytes() + " bytes");
                     if (--pointsLeft[0] == 0) {
                         throw new PowerLost();
@@ -123,7 +123,7 @@
     public void failedCommitsLeaveNoTrace() throws IOException {
         MemoryMedia media = new MemoryMedia();
         SplittableRandom random = new SplittableRandom(9);
-        PowerLossDisk disk = new PowerLossDisk(media, random.split(), 0.5, call -> {
+        PowerLossDisk disk = new PowerLossDisk(media, random.split(), 0.5, point -> {
             if (random.nextInt(6) == 0) {
                 throw new IOException("No space left on device");
             }
