--- a/fuzz/src/main/java/vetchrill/fuzz/ScriptFormat.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/ScriptFormat.java
@@ -16,10 +16,10 @@
     public List<byte[]> seeds(int firstSeed, int stepCount) {
         List<byte[]> seeds = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            SplittableRandom chance = new SplittableRandom(firstSeed + i);
+            SplittableRandom random = new SplittableRandom(firstSeed + i);
             byte[] seed = new byte[headerBytes + stepBytes * stepCount];
             for (int j = 0; j < seed.length; j++) {
-                seed[j] = (byte) chance.nextInt();
+                seed[j] = (byte) random.nextInt();
             }
             seeds.add(seed);
         }
@@ -37,12 +37,12 @@
 
     /** The given number of scripts of 4 to 27 steps each, of random bytes. */
     public List<byte[]> randomScripts(long seed, int count) {
-        SplittableRandom chance = new SplittableRandom(seed);
+        SplittableRandom random = new SplittableRandom(seed);
         List<byte[]> scripts = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            byte[] script = new byte[headerBytes + stepBytes * (4 + chance.nextInt(24))];
+            byte[] script = new byte[headerBytes + stepBytes * (4 + random.nextInt(24))];
             for (int j = 0; j < script.length; j++) {
-                script[j] = (byte) chance.nextInt();
+                script[j] = (byte) random.nextInt();
             }
             scripts.add(script);
         }
@@ -50,25 +50,25 @@
     }
 
     /** Inserts, removes, copies or changes a step, or changes a byte of the header. */
-    public byte[] mutate(byte[] input, SplittableRandom chance) {
+    public byte[] mutate(byte[] input, SplittableRandom random) {
         int stepCount = (input.length - headerBytes) / stepBytes;
         if (stepCount < 1) {
             return null;
         }
         byte[] out = input.clone();
-        int offset = headerBytes + stepBytes * chance.nextInt(stepCount);
-        switch (chance.nextInt(5)) {
-            case 0 -> out[chance.nextInt(headerBytes)] = (byte) chance.nextInt();
+        int offset = headerBytes + stepBytes * random.nextInt(stepCount);
+        switch (random.nextInt(5)) {
+            case 0 -> out[random.nextInt(headerBytes)] = (byte) random.nextInt();
             case 1 -> {
                 for (int i = 0; i < stepBytes; i++) {
-                    out[offset + i] = (byte) chance.nextInt();
+                    out[offset + i] = (byte) random.nextInt();
                 }
             }
             case 2 -> {
                 out = new byte[input.length + stepBytes];
                 System.arraycopy(input, 0, out, 0, offset);
                 for (int i = 0; i < stepBytes; i++) {
-                    out[offset + i] = (byte) chance.nextInt();
+                    out[offset + i] = (byte) random.nextInt();
                 }
                 System.arraycopy(input, offset, out, offset + stepBytes, input.length - offset);
             }
@@ -77,7 +77,7 @@
                 System.arraycopy(input, 0, out, 0, offset);
                 System.arraycopy(input, offset + stepBytes, out, offset, input.length - offset - stepBytes);
             }
-            default -> System.arraycopy(input, headerBytes + stepBytes * chance.nextInt(stepCount), out, offset,
+            default -> System.arraycopy(input, headerBytes + stepBytes * random.nextInt(stepCount), out, offset,
                     stepBytes);
         }
         return out.length > maxBytes() ? Arrays.copyOf(out, maxBytes()) : out;
--- a/fuzz/src/main/java/vetchrill/fuzz/chain/ChainSimulation.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/chain/ChainSimulation.java
@@ -84,7 +84,7 @@
     private long stopAt = -1;
     boolean finished;
     private long lastId;
-    /** Makes the bodies of exchanges with a reused id differ, since the oracle tells these apart by their bodies. */
+    /** Makes the bodies of exchanges with a reused id differ, since only the body identifies them to the oracle. */
     private int duplicateCount;
     private int processedEvents;
     boolean linkOpen;
--- a/fuzz/src/main/java/vetchrill/fuzz/chain/SimInterpreter.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/chain/SimInterpreter.java
@@ -17,6 +17,8 @@
     private record Notice(int number, byte[] bytes) {
     }
 
+    private static final long UPTIME_AT_START_TENTHS_MS = 600_000;
+
     private final ChainSimulation simulation;
     private final List<Notice> noticeLog = new ArrayList<>();
     private final Map<String, Integer> activeRuns = new HashMap<>();
@@ -33,14 +35,16 @@
     boolean manualCompletion;
     /** The next run request is lost, and the link breaks with it. */
     boolean dropsNextApply;
+    /** Runs last a random time up to this. */
     int maxRunMs = 60;
+    /** Of {@code failureOdds + 1} runs, on average this many fail. */
     int failureOdds;
     private final int cores = 2;
     private final List<Runnable> pendingCompletions = new ArrayList<>();
 
     SimInterpreter(ChainSimulation simulation) {
         this.simulation = simulation;
-        startedAt = simulation.now() - 600_000;
+        startedAt = simulation.now() - UPTIME_AT_START_TENTHS_MS;
     }
 
     /** One connection of the instance: commands and notices are delivered in pieces and with delays. */
@@ -50,6 +54,7 @@
         private final ChainSimulation.DelayedStream inbound = simulation.new DelayedStream();
         private final ChainSimulation.DelayedStream outbound = simulation.new DelayedStream();
         private boolean disconnected;
+        /** Number of the last notice read, from a CONNECT that awaits its banner; -1 if the banner has been sent. */
         private int unansweredLastRead = -1;
 
         @Override
--- a/fuzz/src/main/java/vetchrill/fuzz/chain/SimStub.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/chain/SimStub.java
@@ -25,9 +25,13 @@
     private int consumedCount;
     private long sentBytes;
     private long lastReceivedAt = Long.MIN_VALUE / 2;
+    /** Number of the last stream that the stub has opened. */
     int lastStream;
+    /** Whether it has violated the protocol, after which most checks of its input no longer apply. */
     boolean sentInvalid;
+    /** Whether the connection is reset, or the instance has closed its side. */
     boolean disconnected;
+    /** Whether the stub has shut down its output. */
     boolean halfClosed;
     /** Whether it has got a go-away frame: the instance accepts no new exchanges on this connection. */
     boolean goAwayReceived;
--- a/fuzz/src/main/java/vetchrill/fuzz/targets/ModuleTarget.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/targets/ModuleTarget.java
@@ -76,6 +76,7 @@
         int runCount;
         boolean running;
         boolean interrupted;
+        /** Whether a call was requested and not yet started or skipped. */
         boolean awaitingCall;
         boolean callInProgress;
         boolean callerDisconnected;
@@ -84,6 +85,7 @@
         boolean paused;
         boolean finished;
         long answerDeadline;
+        /** Whether the exchange that this one repeats has run before. */
         boolean originalRan;
     }
 
--- a/fuzz/src/main/java/vetchrill/fuzz/targets/TextTargets.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/targets/TextTargets.java
@@ -105,7 +105,7 @@
                 checkKeepAlive(input);
             }
 
-            /** Checks that responses on one connection are told apart by their lengths. */
+            /** Checks that each response on a connection is read up to its own end. */
             private void checkKeepAlive(byte[] input) {
                 String body = "x".repeat(input.length % 50);
                 String two = "HTTP/1.1 204 Told\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nX: y\r\ncontent-length: "
--- a/fuzz/src/main/java/vetchrill/fuzz/targets/VersionsTarget.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/targets/VersionsTarget.java
@@ -151,7 +151,7 @@
                 {8, 0, 1, 0}, {20, 0, 0, 30}},
             {{8, 0, 4, 0}, {12, 1, 2, 60}, {13, 0, 0, 0}, {19, 0, 3, 0}, {15, 0, 0, 0}, {19, 0, 100, 0}, {2, 1, 0, 0},
                 {8, 0, 1, 0}, {20, 0, 0, 30}},
-            // Two processes run as one voter, and the older one goes on answering.
+            // Two processes run as one voter, and the older one still answers.
             {{8, 0, 4, 0}, {13, 0, 0, 0}, {19, 0, 20, 0}, {21, 1, 1, 0}, {19, 0, 80, 0}, {15, 0, 0, 0}, {19, 0, 80, 0},
                 {8, 0, 1, 0}, {20, 0, 0, 30}},
             {{8, 0, 4, 0}, {13, 0, 0, 0}, {15, 0, 0, 0}, {19, 0, 20, 0}, {21, 1, 1, 0}, {8, 0, 0, 0}, {20, 0, 0, 30}},
