--- a/fuzz/src/main/java/vetchrill/fuzz/chain/ChainSimulation.java
+++ b/fuzz/src/main/java/vetchrill/fuzz/chain/ChainSimulation.java
@@ -265,7 +265,7 @@
 
     private DuplexChannel openLink(InetSocketAddress address, long timeout) throws IOException {
         if (now() < connectRefusedUntil) {
-            throw new IOException("connection refused");
+            throw new IOException("refused");
         }
         return interpreter.openLink().channel;
     }
