--- a/lab/src/main/java/vetchrill/standin/AuditScenario.java
+++ b/lab/src/main/java/vetchrill/standin/AuditScenario.java
@@ -37,12 +37,17 @@
      */
     private static final long MAX_LOST_TAIL_NANOS = 2_000_000_000L;
     private static final int LAST_FLUSH_WAIT_MS = 300;
+    private static final int MIN_PAUSE_MS = 100;
+    private static final int PAUSE_SPREAD_MS = 400;
     private static final int FAULT_DURATION_MS = 1_500;
     private static final int ROLLOUT_TIMEOUT_MS = 4_000;
     private static final int LEASE_EXPIRY_MARGIN_MS = 300;
     private static final int LINK_DELAY_MS = 30;
     private static final int CLOCK_STEP_MS = 3_600_000;
 
+    /** A problem that {@link InstanceAuditLog} reports for a stepped clock, which is an injected fault here. */
+    private static final String CLOCK_STEP_PROBLEM = "the clock went back";
+
     // The faults that are drawn. The first also publishes other content under the same number.
     private static final int KILL_AND_CONFLICT = 0;
     private static final int KILL = 1;
@@ -245,7 +250,7 @@
         if (allReachable) {
             outcome.publishTimesMs.add(rig.awaitVersionOnAll(version));
         } else {
-            Thread.sleep(100 + random.nextInt(400));
+            Thread.sleep(MIN_PAUSE_MS + random.nextInt(PAUSE_SPREAD_MS));
         }
         if (published && random.nextInt(3) > 0 && rig.awaitMinVersion(publisher, version,
                 MIN_VERSION_TIMEOUT_MS)) {
@@ -292,7 +297,7 @@
         for (InstanceAuditLog each : fleet.logs) {
             outcome.omittedEvents += each.omittedEvents;
             outcome.violations.addAll(each.problems.stream().map(problem -> each.name + ": " + problem)
-                    .filter(problem -> !problem.contains("the clock went back")).toList());
+                    .filter(problem -> !problem.contains(CLOCK_STEP_PROBLEM)).toList());
         }
         outcome.inconsistencies = fleet.findInconsistencies().size();
         Set<Integer> omitting = new HashSet<>();
--- a/lab/src/main/java/vetchrill/standin/AuditTestRig.java
+++ b/lab/src/main/java/vetchrill/standin/AuditTestRig.java
@@ -42,11 +42,15 @@
     private static final int ARRIVAL_STAMP_AGE_MS = 1_000;
     private static final int AWAIT_TIMEOUT_S = 30;
     private static final int POLL_MS = 5;
+    private static final int VERSION_POLL_MS = 10;
+    private static final int SERVING_POLL_MS = 50;
     private static final int CONNECT_TIMEOUT_MS = 500;
     private static final int ANSWER_TIMEOUT_MS = 3_000;
     private static final int RECONNECT_DELAY_MS = 20;
     private static final int THREAD_JOIN_MS = 5_000;
     private static final int TORN_TAIL_BYTES = 7;
+    /** In the log of an instance for each reload of its configuration. */
+    private static final String RELOAD_LOG_TEXT = "configuration read again";
     private static final String SETTINGS_TEMPLATE = "{\"categories\":["
             + "{\"name\":\"look\",\"effect\":\"free\",\"aimMs\":AIM,\"deadlineMs\":30000,\"gain\":GAIN},"
             + "{\"name\":\"note\",\"effect\":\"single_shot\",\"aimMs\":AIM,\"deadlineMs\":30000,\"gain\":3}],"
@@ -94,6 +98,7 @@
     private final boolean[] diskFull;
     /** The release that each instance runs; null for the program of this rig. */
     private final Path[] releases;
+    /** The write point at which each instance loses power; 0 for none. */
     private final int[] powerLossPoints;
     private volatile boolean loadRunning;
     private final List<Thread> backgroundThreads = new ArrayList<>();
@@ -103,6 +108,7 @@
     /** The number of faults injected so far. */
     public int faults;
 
+    /** Starts {@code size} instances, of which the first {@code voters} are the quorum; the folder must be empty. */
     public AuditTestRig(int size, int voters, Path folder, long seed) throws IOException {
         this.size = size;
         this.voters = voters;
@@ -508,7 +514,7 @@
                     throw new IllegalStateException(instanceName(i) + " did not reach version " + version + ": "
                             + lastReply);
                 }
-                Thread.sleep(10);
+                Thread.sleep(VERSION_POLL_MS);
             }
         }
         return (System.nanoTime() - startNanos) / 1_000_000;
@@ -571,7 +577,7 @@
 
     /** Counts the reloads of the configuration in the log of the instance. */
     private int countReloads(int instance) throws IOException {
-        return readLog(instance).split("configuration read again", -1).length - 1;
+        return readLog(instance).split(RELOAD_LOG_TEXT, -1).length - 1;
     }
 
     /** Waits until all instances are up and none is fenced. Throws if it takes longer than the timeout. */
@@ -591,7 +597,7 @@
             if (notServing.isEmpty()) {
                 return;
             }
-            Thread.sleep(50);
+            Thread.sleep(SERVING_POLL_MS);
         }
         throw new IllegalStateException("not all instances serve again:" + notServing);
     }
--- a/lab/src/main/java/vetchrill/standin/FleetTestRig.java
+++ b/lab/src/main/java/vetchrill/standin/FleetTestRig.java
@@ -25,8 +25,8 @@
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.Recorder;
 import vetchrill.fleet.Fault;
-import vetchrill.fleet.Fleet.StubPool;
 import vetchrill.fleet.Fleet;
+import vetchrill.fleet.Fleet.StubPool;
 import vetchrill.model.ClientRequest;
 import vetchrill.model.ClientStub;
 import vetchrill.model.ServiceStatistics;
@@ -42,6 +42,7 @@
 public final class FleetTestRig implements Closeable {
     /** A run is invalid if the 99th percentile of the lateness of first attempts is above this. */
     private static final long MAX_LATENESS_TENTHS_MS = 250;
+    /** Limit on the wait for attempts that are still being read when the load has ended. */
     private static final long MAX_READING_TENTHS_MS = 150_000;
     /** How long the run goes on after the last attempt may have timed out. */
     private static final long FINISH_GRACE_TENTHS_MS = 1_000;
@@ -51,6 +52,7 @@
     private static final int CONNECT_TIMEOUT_MS = 200;
     private static final int START_TIMEOUT_S = 60;
     private static final int SETTLE_MS = 500;
+    private static final int FINISH_POLL_MS = 20;
     private static final int EXIT_GRACE_MS = 5_000;
 
     /** An attempt that arrived at an instance, as the load generator knows it; the planner never sees it. */
@@ -78,6 +80,7 @@
         }
     }
 
+    /** A request of the load with its body and the core time of its run. */
     private static final class GeneratedRequest extends ClientRequest {
         final double coreTime;
         final byte[] body;
@@ -134,6 +137,7 @@
         }
     }
 
+    /** A connection of a stub to an instance; it takes no more attempts once it is closing. */
     private static final class StubConnection {
         final Socket socket;
         final Map<Integer, Attempt> openAttempts = new HashMap<>();
@@ -252,7 +256,7 @@
         long end = duration + fleet.longestTimeout() + FINISH_GRACE_TENTHS_MS;
         // Attempts that have arrived are still read, even if that takes an overloaded machine long.
         while (now() < end || pendingReadCount > 0 && now() < end + MAX_READING_TENTHS_MS) {
-            Thread.sleep(20);
+            Thread.sleep(FINISH_POLL_MS);
         }
         return finish();
     }
--- a/lab/src/main/java/vetchrill/standin/InstanceProcess.java
+++ b/lab/src/main/java/vetchrill/standin/InstanceProcess.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import vetchrill.fleet.DeploymentSettings;
-import vetchrill.fleet.Fleet.MachineKind;
 import vetchrill.fleet.Fleet;
+import vetchrill.fleet.Fleet.MachineKind;
 import vetchrill.protocol.DeploymentReader;
 
 /**
--- a/lab/src/main/java/vetchrill/standin/PowerLossScenario.java
+++ b/lab/src/main/java/vetchrill/standin/PowerLossScenario.java
@@ -16,10 +16,11 @@
  * corrupted. The scenario compares the durable state that each instance reports before and after.
  */
 public final class PowerLossScenario {
+    /** The last write point of the store, counted from the start of the process, at which power is cut. */
     private static final int MAX_WRITE_POINT = 40;
     private static final int WRITE_POINT_TIMEOUT_MS = 1_500;
     private static final int MAX_START_STAGGER_MS = 300;
-    /** Every so many power losses one damages a disk. */
+    /** One in this many power losses also damages a disk. */
     private static final int DISK_DAMAGE_PERIOD = 3;
     private static final int MAX_ORDER_DELAY_MS = 120;
     private static final int MAX_ORDER_DELAY_WITH_DISK_DAMAGE_MS = 600;
