--- a/lab/src/main/java/vetchrill/capture/Capture.java
+++ b/lab/src/main/java/vetchrill/capture/Capture.java
@@ -23,6 +23,9 @@
  * index in all of them. Times and durations are tenths of a millisecond.
  */
 public final class Capture {
+    private static final int TENTHS_PER_MS = 10;
+    private static final long ALLOCATOR_LIMIT_BYTES = 512L << 20;
+
     public final Path file;
     /** The names of the instance, of its zone and of its machine kind. */
     public final String name;
@@ -64,25 +67,25 @@
     public float[] memory = new float[0];
     public int[] connections = new int[0];
 
-    private Capture(Path file, Map<String, String> provenance) {
+    private Capture(Path file, Map<String, String> metadata) {
         this.file = file;
-        name = required(provenance, "name");
-        zone = required(provenance, "zone");
-        kind = required(provenance, "kind");
+        name = required(metadata, "name");
+        zone = required(metadata, "zone");
+        kind = required(metadata, "kind");
         try {
-            startedAt = 10 * Long.parseLong(required(provenance, "started"));
+            startedAt = TENTHS_PER_MS * Long.parseLong(required(metadata, "started"));
         } catch (NumberFormatException e) {
             throw new CaptureException(file + ": its start time is not a number");
         }
         try {
-            deployment = new DeploymentReader(required(provenance, "settings"));
+            deployment = new DeploymentReader(required(metadata, "settings"));
         } catch (IllegalArgumentException e) {
             throw new CaptureException(file + ": its settings are invalid: " + e.getMessage());
         }
     }
 
-    private String required(Map<String, String> provenance, String key) {
-        String value = provenance.get(key);
+    private String required(Map<String, String> metadata, String key) {
+        String value = metadata.get(key);
         if (value == null || value.isEmpty()) {
             throw new CaptureException(file + ": has no " + key);
         }
@@ -107,7 +110,7 @@
         }
         Capture capture = null;
         int offset = 0;
-        try (RootAllocator allocator = new RootAllocator(512L << 20)) {
+        try (RootAllocator allocator = new RootAllocator(ALLOCATOR_LIMIT_BYTES)) {
             while (offset < all.length) {
                 for (int i = 0; i < Math.min(CaptureFormat.MAGIC.length, all.length - offset); i++) {
                     if (all[offset + i] != CaptureFormat.MAGIC[i]) {
@@ -118,15 +121,16 @@
                 if (all.length - offset < CaptureFormat.HEADER_BYTES) {
                     break;
                 }
-                if (all[offset + 4] != CaptureFormat.VERSION) {
-                    throw new CaptureException(file + ": has the format version " + all[offset + 4] + ", expected "
-                            + CaptureFormat.VERSION);
+                if (all[offset + CaptureFormat.VERSION_OFFSET_BYTES] != CaptureFormat.VERSION) {
+                    throw new CaptureException(file + ": has the format version "
+                            + all[offset + CaptureFormat.VERSION_OFFSET_BYTES] + ", expected " + CaptureFormat.VERSION);
                 }
-                byte table = all[offset + 5];
-                int length = CaptureFormat.getInt(all, offset + 8);
+                byte table = all[offset + CaptureFormat.TABLE_OFFSET_BYTES];
+                int length = CaptureFormat.getInt(all, offset + CaptureFormat.LENGTH_OFFSET_BYTES);
                 if (length <= 0 || length > CaptureFormat.MAX_PART_BYTES || table < CaptureFormat.EXCHANGES
                         || table > CaptureFormat.END
-                        || all[offset + 6] != 0 || all[offset + 7] != 0) {
+                        || all[offset + CaptureFormat.RESERVED_OFFSET_BYTES] != 0
+                        || all[offset + (CaptureFormat.RESERVED_OFFSET_BYTES + 1)] != 0) {
                     throw new CaptureException(file + ": is damaged at byte " + offset);
                 }
                 if (length > all.length - offset - CaptureFormat.HEADER_BYTES) {
@@ -134,7 +138,8 @@
                 }
                 CRC32C checksum = new CRC32C();
                 checksum.update(all, offset + CaptureFormat.HEADER_BYTES, length);
-                if ((int) checksum.getValue() != CaptureFormat.getInt(all, offset + 12)) {
+                if ((int) checksum.getValue()
+                        != CaptureFormat.getInt(all, offset + CaptureFormat.CHECKSUM_OFFSET_BYTES)) {
                     throw new CaptureException(file + ": is damaged between bytes " + offset + " and "
                             + (offset + CaptureFormat.HEADER_BYTES + length));
                 }
@@ -159,9 +164,9 @@
                 throw new CaptureException(file + ": a part declares more data than it has");
             }
             VectorSchemaRoot root = reader.getVectorSchemaRoot();
-            Map<String, String> provenance = root.getSchema().getCustomMetadata();
-            Capture capture = earlier == null ? new Capture(file, provenance) : earlier;
-            if (!capture.name.equals(provenance.get("name"))) {
+            Map<String, String> metadata = root.getSchema().getCustomMetadata();
+            Capture capture = earlier == null ? new Capture(file, metadata) : earlier;
+            if (!capture.name.equals(metadata.get("name"))) {
                 throw new CaptureException(file + ": has parts of different instances");
             }
             List<String> expected = table == CaptureFormat.GAUGES ? CaptureFormat.GAUGE_COLUMNS
@@ -170,7 +175,7 @@
             if (!names.equals(expected)) {
                 throw new CaptureException(file + ": has the columns " + names + ", expected " + expected);
             }
-            capture.droppedRows = Long.parseLong(provenance.getOrDefault("lost", "0"));
+            capture.droppedRows = Long.parseLong(metadata.getOrDefault("lost", "0"));
             while (table != CaptureFormat.END && reader.loadNextBatch()) {
                 if (root.getRowCount() > length) {
                     throw new CaptureException(file + ": a part declares " + root.getRowCount() + " rows in " + length
--- a/lab/src/main/java/vetchrill/capture/CaptureFormat.java
+++ b/lab/src/main/java/vetchrill/capture/CaptureFormat.java
@@ -20,6 +20,7 @@
 import org.apache.arrow.vector.types.FloatingPointPrecision;
 import org.apache.arrow.vector.types.pojo.ArrowType;
 import org.apache.arrow.vector.types.pojo.Field;
+import org.apache.arrow.vector.types.pojo.FieldType;
 import org.apache.arrow.vector.types.pojo.Schema;
 
 /**
@@ -33,6 +34,12 @@
     static final byte[] MAGIC = {'V', 'C', 'A', 'P'};
     static final int VERSION = 1;
     static final int HEADER_BYTES = 16;
+    static final int VERSION_OFFSET_BYTES = 4;
+    static final int TABLE_OFFSET_BYTES = 5;
+    /** Of the two bytes that are zero. */
+    static final int RESERVED_OFFSET_BYTES = 6;
+    static final int LENGTH_OFFSET_BYTES = 8;
+    static final int CHECKSUM_OFFSET_BYTES = 12;
     // The tables.
     static final byte EXCHANGES = 1;
     static final byte GAUGES = 2;
@@ -50,6 +57,7 @@
     private CaptureFormat() {
     }
 
+    /** Returns the column of that name with its type. */
     private static Field field(String name) {
         ArrowType type = switch (name) {
             case "group", "answer", "give_up" -> new ArrowType.Int(8, true);
@@ -58,15 +66,16 @@
             case "kb", "cpu", "runnable", "memory" -> new ArrowType.FloatingPoint(FloatingPointPrecision.SINGLE);
             default -> new ArrowType.Int(64, true);
         };
-        return new Field(name, new org.apache.arrow.vector.types.pojo.FieldType(false, type, null), null);
+        return new Field(name, new FieldType(false, type, null), null);
     }
 
-    static Schema schema(byte table, Map<String, String> provenance) {
+    /** Returns the schema of a part; the end part has the columns of the exchanges. */
+    static Schema schema(byte table, Map<String, String> metadata) {
         List<Field> fields = new ArrayList<>();
         for (String name : table == GAUGES ? GAUGE_COLUMNS : EXCHANGE_COLUMNS) {
             fields.add(field(name));
         }
-        return new Schema(fields, provenance);
+        return new Schema(fields, metadata);
     }
 
     /** Sets a value of a column, converted to its type. The reader checks the range of values. */
@@ -103,10 +112,10 @@
         CRC32C checksum = new CRC32C();
         checksum.update(part, HEADER_BYTES, part.length - HEADER_BYTES);
         System.arraycopy(MAGIC, 0, part, 0, MAGIC.length);
-        part[4] = VERSION;
-        part[5] = table;
-        putInt(part, 8, part.length - HEADER_BYTES);
-        putInt(part, 12, (int) checksum.getValue());
+        part[VERSION_OFFSET_BYTES] = VERSION;
+        part[TABLE_OFFSET_BYTES] = table;
+        putInt(part, LENGTH_OFFSET_BYTES, part.length - HEADER_BYTES);
+        putInt(part, CHECKSUM_OFFSET_BYTES, (int) checksum.getValue());
         return part;
     }
 
--- a/lab/src/main/java/vetchrill/capture/CaptureWriter.java
+++ b/lab/src/main/java/vetchrill/capture/CaptureWriter.java
@@ -41,7 +41,7 @@
     private final CaptureConfig settings;
     private final Path file;
     private final OutputStream out;
-    private final Map<String, String> provenance;
+    private final Map<String, String> metadata;
     private final SpscArrayQueue<ExchangeRow> emptyExchanges;
     private final SpscArrayQueue<ExchangeRow> exchanges;
     private final SpscArrayQueue<GaugeRow> emptyGauges;
@@ -61,14 +61,14 @@
     private long writtenBytes;
     private boolean limitReached;
 
-    /** {@code provenance} is the metadata of each part; {@link Capture} lists the keys that it must have. */
-    public CaptureWriter(CaptureConfig settings, Map<String, String> provenance) throws IOException {
+    /** {@code metadata} is the metadata of each part; {@link Capture} lists the keys that it must have. */
+    public CaptureWriter(CaptureConfig settings, Map<String, String> metadata) throws IOException {
         this.settings = settings;
-        this.provenance = new LinkedHashMap<>(provenance);
-        this.provenance.put("zone", settings.zone);
-        this.provenance.put("kind", settings.kind);
+        this.metadata = new LinkedHashMap<>(metadata);
+        this.metadata.put("zone", settings.zone);
+        this.metadata.put("kind", settings.kind);
         Files.createDirectories(settings.directory);
-        file = settings.directory.resolve(provenance.get("name") + "-" + provenance.get("started") + ".vcap");
+        file = settings.directory.resolve(metadata.get("name") + "-" + metadata.get("started") + ".vcap");
         out = Files.newOutputStream(file);
         emptyExchanges = new SpscArrayQueue<>(settings.ringRows);
         exchanges = new SpscArrayQueue<>(settings.ringRows);
@@ -81,9 +81,9 @@
             emptyGauges.offer(new GaugeRow());
         }
         mac = ThreadLocal.withInitial(this::createMac);
-        exchangeTable = VectorSchemaRoot.create(CaptureFormat.schema(CaptureFormat.EXCHANGES, this.provenance),
+        exchangeTable = VectorSchemaRoot.create(CaptureFormat.schema(CaptureFormat.EXCHANGES, this.metadata),
                 allocator);
-        gaugeTable = VectorSchemaRoot.create(CaptureFormat.schema(CaptureFormat.GAUGES, this.provenance), allocator);
+        gaugeTable = VectorSchemaRoot.create(CaptureFormat.schema(CaptureFormat.GAUGES, this.metadata), allocator);
         writer = new Thread(null, this::runWriter, "capture", WRITER_STACK_BYTES);
         writer.setDaemon(true);
         writer.start();
@@ -229,9 +229,9 @@
     }
 
     private void write(VectorSchemaRoot rows, byte table) throws IOException {
-        provenance.put("lost", Long.toString(droppedRows + rowsBeyondLimit));
+        metadata.put("lost", Long.toString(droppedRows + rowsBeyondLimit));
         // This table shares the columns of the other, which closes them, so it is not closed here.
-        byte[] part = CaptureFormat.encode(new VectorSchemaRoot(CaptureFormat.schema(table, provenance),
+        byte[] part = CaptureFormat.encode(new VectorSchemaRoot(CaptureFormat.schema(table, metadata),
                 rows.getFieldVectors(),
                 rows.getRowCount()), table);
         if (writtenBytes + part.length > settings.maxBytes) {
@@ -250,8 +250,8 @@
     }
 
     private void writeEnd() throws IOException {
-        provenance.put("lost", Long.toString(droppedRows + rowsBeyondLimit));
-        try (VectorSchemaRoot empty = VectorSchemaRoot.create(CaptureFormat.schema(CaptureFormat.END, provenance),
+        metadata.put("lost", Long.toString(droppedRows + rowsBeyondLimit));
+        try (VectorSchemaRoot empty = VectorSchemaRoot.create(CaptureFormat.schema(CaptureFormat.END, metadata),
                 allocator)) {
             empty.setRowCount(0);
             out.write(CaptureFormat.encode(empty, CaptureFormat.END));
--- a/lab/src/main/java/vetchrill/capture/ClockOffsets.java
+++ b/lab/src/main/java/vetchrill/capture/ClockOffsets.java
@@ -46,8 +46,7 @@
     record RequestSignature(long stub, int customer, byte group, long subject, int bodyBytes, float sizeKb) {
         static RequestSignature of(Capture capture, int row) {
             return new RequestSignature(capture.stub[row], capture.customer[row], capture.group[row],
-                    capture.subject[row],
-                    capture.bodyBytes[row], capture.sizeKb[row]);
+                    capture.subject[row], capture.bodyBytes[row], capture.sizeKb[row]);
         }
     }
 
--- a/lab/src/main/java/vetchrill/model/FleetSimulation.java
+++ b/lab/src/main/java/vetchrill/model/FleetSimulation.java
@@ -85,10 +85,11 @@
         statistics = new ServiceStatistics(fleet, duration);
         List<SimulatedInstance> all = new ArrayList<>();
         SplittableRandom speedRandom = random.split();
-        for (Fleet.InstancePlacement place : fleet.placements()) {
+        for (Fleet.InstancePlacement placement : fleet.placements()) {
             double speed = Math.max(MIN_MACHINE_SPEED_RATIO,
-                    1 + place.kind().speedCv() * Workload.ConfiguredWorkload.nextGaussian(speedRandom));
-            all.add(new SimulatedInstance(this, all.size(), place.zone(), place.kind(), speed, fleet.stubCount()));
+                    1 + placement.kind().speedCv() * Workload.ConfiguredWorkload.nextGaussian(speedRandom));
+            all.add(new SimulatedInstance(this, all.size(), placement.zone(), placement.kind(), speed,
+                    fleet.stubCount()));
         }
         instances = all.toArray(new SimulatedInstance[0]);
         listed = new boolean[instances.length];
@@ -214,11 +215,12 @@
     }
 
     /** Creates and counts a request; its core time is drawn if it was not recorded, and whether it calls the tier. */
-    private SimulatedRequest newRequest(Workload.RecordedRequest first, long now) {
-        Fleet.Group group = fleet.groups.get(first.group());
-        double coreTime = Double.isNaN(first.coreTime()) ? workload.coreTime(first.group(), random) : first.coreTime();
-        SimulatedRequest request = new SimulatedRequest(first.group(), first.customer(), first.subject(),
-                first.sizeKb(), first.bodyBytes(), now, now + group.asyncTimeout(), coreTime,
+    private SimulatedRequest newRequest(Workload.RecordedRequest values, long now) {
+        Fleet.Group group = fleet.groups.get(values.group());
+        double coreTime = Double.isNaN(values.coreTime()) ? workload.coreTime(values.group(), random)
+                : values.coreTime();
+        SimulatedRequest request = new SimulatedRequest(values.group(), values.customer(), values.subject(),
+                values.sizeKb(), values.bodyBytes(), now, now + group.asyncTimeout(), coreTime,
                 group.callShare() > 0 && random.nextDouble() < group.callShare());
         statistics.onRequest(request);
         return request;
@@ -258,10 +260,10 @@
             if (now >= duration) {
                 return;
             }
-            Workload.RecordedRequest first = recorded.get(index);
+            Workload.RecordedRequest recordedRequest = recorded.get(index);
             for (double remaining = burstFactor; remaining > 0 && random.nextDouble() < remaining; remaining--) {
-                SimulatedRequest request = newRequest(first, now);
-                int stub = first.stub() >= 0 && first.stub() < stubs.length ? first.stub()
+                SimulatedRequest request = newRequest(recordedRequest, now);
+                int stub = recordedRequest.stub() >= 0 && recordedRequest.stub() < stubs.length ? recordedRequest.stub()
                         : random.nextInt(stubs.length);
                 stubs[stub].send(request, now);
             }
--- a/lab/src/main/java/vetchrill/model/PeakUsage.java
+++ b/lab/src/main/java/vetchrill/model/PeakUsage.java
@@ -9,6 +9,7 @@
     public double readingShare;
     /** Running exchanges per core, averaged over the time that the limit allows, as a share of the limit. */
     public double runsPerCore;
+    /** Memory in use by an instance. */
     public double memory;
     /** Denied attempts as a share of all attempts. */
     public double deniedAttempts;
--- a/lab/src/main/java/vetchrill/model/ServiceStatistics.java
+++ b/lab/src/main/java/vetchrill/model/ServiceStatistics.java
@@ -12,6 +12,7 @@
     public static final int SECOND_TENTHS_MS = 10_000;
 
     private final Fleet fleet;
+    /** Number of seconds counted. */
     public final int seconds;
     /** By second: benefit requested, of answers within the SLO time, and of later answers. */
     public final double[] requestedBenefit;
@@ -21,6 +22,7 @@
     public final long[] firstAttempts;
     public final long[] allAttempts;
     public final long[] deniedAttempts;
+    /** By group, and by customer: benefit requested, and of answers within the SLO time. */
     public final double[] groupRequested;
     public final double[] groupInTime;
     public final double[] customerRequested;
